--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -13,7 +13,10 @@
 
 use crate::{
     daemon::{client::Client, endpoint},
-    decide::{Admission, Arrival, Event, Gate, Release, Sample, Standing, Tuning, WaiterId, failure_level},
+    decide::{
+        AdmissionController, AdmissionDecision, AdmissionRequest, Event, Sample, Standing, Tuning, WaiterDecision,
+        WaiterId, failure_level,
+    },
     rows::{EndpointId, EndpointRow, EndpointState, Incarnation},
     targets::Weighs,
     ticket::{Ledger, Opening},
@@ -78,8 +81,8 @@
     slots: u16,
     last_heard: Instant,
     standing: Standing,
-    gate: Gate,
-    waiters: Vec<(WaiterId, Sender<Admission>)>,
+    gate: AdmissionController,
+    waiters: Vec<(WaiterId, Sender<AdmissionDecision>)>,
 }
 
 #[derive(Default)]
@@ -126,7 +129,7 @@
         let resized = endpoint.slots != it.slots || endpoint.service != it.service;
         endpoint.slots = it.slots;
         endpoint.service = it.service.clone();
-        endpoint.gate.resize(it.slots);
+        endpoint.gate.set_slots(it.slots);
         let event = match it.state {
             AnnouncedState::Starting => Event::AnnouncedStarting,
             AnnouncedState::Serving => Event::AnnouncedServing,
@@ -174,7 +177,7 @@
         let outcome = self.run(client, dispatch, hooks);
         let inner = lock(&self.inner);
         let gate = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].gate);
-        let (load, admits) = gate.map_or((0, 0), |it| (it.load(), it.admits()));
+        let (load, admits) = gate.map_or((0, 0), |it| (it.load(), it.min_importance()));
         DispatchReply { outcome, load, admits }
     }
 
@@ -226,7 +229,7 @@
 
     fn admit(&self, dispatch: &Dispatch, deadline: Instant) -> Result<(), Refusal> {
         let id = self.next_waiter.fetch_add(1, Ordering::Relaxed);
-        let arrival = Arrival { id, importance: dispatch.importance, deadline };
+        let arrival = AdmissionRequest { id, importance: dispatch.importance, deadline };
         let (tx, rx) = bounded(1);
         {
             let mut inner = lock(&self.inner);
@@ -235,32 +238,37 @@
             if !endpoint.standing.admits() {
                 return Err(Refusal::EndpointLeaving);
             }
-            let (admission, evicted) = endpoint.gate.arrive(arrival, Instant::now());
+            let (admission, evicted) = endpoint.gate.admit(arrival, Instant::now());
             endpoint.release(evicted);
             match admission {
-                Admission::Run => return Ok(()),
-                Admission::Refuse(refusal) => return Err(refusal),
-                Admission::Wait => endpoint.waiters.push((id, tx)),
+                AdmissionDecision::Admit => return Ok(()),
+                AdmissionDecision::Refuse(refusal) => return Err(refusal),
+                AdmissionDecision::Queue => endpoint.waiters.push((id, tx)),
             }
         }
         let decided = rx.recv_deadline(deadline).ok();
         match decided.unwrap_or_else(|| self.give_up(&dispatch.endpoint, id, &rx)) {
-            Admission::Run => Ok(()),
-            Admission::Refuse(refusal) => Err(refusal),
-            Admission::Wait => unreachable!("a release never says wait"),
+            AdmissionDecision::Admit => Ok(()),
+            AdmissionDecision::Refuse(refusal) => Err(refusal),
+            AdmissionDecision::Queue => unreachable!("a release never says wait"),
         }
     }
 
     /// The deadline came first, unless the decision was under way.
-    fn give_up(&self, endpoint: &str, id: WaiterId, rx: &crossbeam::channel::Receiver<Admission>) -> Admission {
+    fn give_up(
+        &self,
+        endpoint: &str,
+        id: WaiterId,
+        rx: &crossbeam::channel::Receiver<AdmissionDecision>,
+    ) -> AdmissionDecision {
         let mut inner = lock(&self.inner);
-        let Some(at) = inner.find(endpoint) else { return Admission::Refuse(Refusal::EndpointLeaving) };
+        let Some(at) = inner.find(endpoint) else { return AdmissionDecision::Refuse(Refusal::EndpointLeaving) };
         let endpoint = &mut inner.endpoints[at];
-        if endpoint.gate.give_up(id) {
+        if endpoint.gate.cancel(id) {
             endpoint.waiters.retain(|it| it.0 != id);
-            return Admission::Refuse(Refusal::TooLate);
+            return AdmissionDecision::Refuse(Refusal::TooLate);
         }
-        rx.try_recv().unwrap_or(Admission::Refuse(Refusal::TooLate))
+        rx.try_recv().unwrap_or(AdmissionDecision::Refuse(Refusal::TooLate))
     }
 
     /// Frees the slot and takes the evidence; returns whether the row changed.
@@ -269,7 +277,7 @@
         let at = inner.find(endpoint).expect("an endpoint stays while work is running there");
         let endpoint = &mut inner.endpoints[at];
         let before = endpoint.row();
-        for release in endpoint.gate.leave(took, now) {
+        for release in endpoint.gate.release_slot(took, now) {
             endpoint.release(Some(release));
         }
         if let Some(sample) = sample {
@@ -319,7 +327,7 @@
             slots: it.slots,
             last_heard: now,
             standing: Standing::new(Tuning::default(), now),
-            gate: Gate::new(it.slots),
+            gate: AdmissionController::new(it.slots),
             waiters: Vec::new(),
         }
     }
@@ -341,7 +349,7 @@
             log_change(&self.id, before, self.standing.state());
         }
         if !self.standing.admits() {
-            for release in self.gate.refuse_all(Refusal::EndpointLeaving) {
+            for release in self.gate.refuse_waiters(Refusal::EndpointLeaving) {
                 self.release(Some(release));
             }
         }
@@ -349,11 +357,11 @@
     }
 
     /// Tells a waiter what became of it.
-    fn release(&mut self, release: Option<Release>) {
-        let Some(Release { id, admission }) = release else { return };
+    fn release(&mut self, release: Option<WaiterDecision>) {
+        let Some(WaiterDecision { id, decision }) = release else { return };
         let at = self.waiters.iter().position(|it| it.0 == id).expect("each waiter has a channel");
         let (_, tx) = self.waiters.swap_remove(at);
-        tx.send(admission).expect("a waiter takes itself out before it goes");
+        tx.send(decision).expect("a waiter takes itself out before it goes");
     }
 }
 
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -19,7 +19,7 @@
 
 /// Work that asks to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Arrival {
+pub struct AdmissionRequest {
     /// Names it.
     pub id: WaiterId,
     /// How much it matters.
@@ -30,46 +30,46 @@
 
 /// What becomes of an arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionDecision {
     /// It has a slot.
-    Run,
+    Admit,
     /// It waits; a [`Release`] will name it.
-    Wait,
+    Queue,
     /// It is refused and has not run.
     Refuse(Refusal),
 }
 
 /// What becomes of a waiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Release {
+pub struct WaiterDecision {
     /// Which waiter.
     pub id: WaiterId,
-    /// `Run` or `Refuse`.
-    pub admission: Admission,
+    /// `Admit` or `Refuse`.
+    pub decision: AdmissionDecision,
 }
 
 /// The gate of one endpoint.
 #[derive(Debug, Clone)]
-pub struct Gate {
+pub struct AdmissionController {
     slots: u16,
     /// Never above the slots the endpoint had when the work was admitted.
     running: u16,
     /// Sorted: the first to run comes first. Never longer than the slots allow.
-    queue: Vec<Arrival>,
+    queue: Vec<AdmissionRequest>,
     /// The running mean of service times, in seconds; zero before the first.
     mean: f64,
     /// The running mean of their distance from it, in seconds.
     spread: f64,
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate before an endpoint with `slots`.
     pub fn new(slots: u16) -> Self {
         Self { slots, running: 0, queue: Vec::new(), mean: 0.0, spread: 0.0 }
     }
 
     /// Takes a new number of slots.
-    pub fn resize(&mut self, slots: u16) {
+    pub fn set_slots(&mut self, slots: u16) {
         self.slots = slots;
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// The lowest importance that would not be refused for the queue being full.
-    pub fn admits(&self) -> Importance {
+    pub fn min_importance(&self) -> Importance {
         if self.queue.len() < self.queue_limit() {
             return 0;
         }
@@ -92,26 +92,27 @@
     }
 
     /// Admits, queues or refuses work; also names the waiter whose place it took.
-    pub fn arrive(&mut self, arrival: Arrival, now: Instant) -> (Admission, Option<Release>) {
+    pub fn admit(&mut self, arrival: AdmissionRequest, now: Instant) -> (AdmissionDecision, Option<WaiterDecision>) {
         if self.running < self.slots && self.queue.is_empty() {
             self.running += 1;
-            return (Admission::Run, None);
+            return (AdmissionDecision::Admit, None);
         }
         let at = self.queue.partition_point(|it| !runs_before(&arrival, it));
         if now + self.expected(at) > arrival.deadline {
-            return (Admission::Refuse(Refusal::TooLate), None);
+            return (AdmissionDecision::Refuse(Refusal::TooLate), None);
         }
         if at >= self.queue_limit() {
-            return (Admission::Refuse(Refusal::Overloaded), None);
+            return (AdmissionDecision::Refuse(Refusal::Overloaded), None);
         }
         self.queue.insert(at, arrival);
         let evicted = (self.queue.len() > self.queue_limit()).then(|| self.queue.pop()).flatten();
-        let release = evicted.map(|it| Release { id: it.id, admission: Admission::Refuse(Refusal::Overloaded) });
-        (Admission::Wait, release)
+        let release =
+            evicted.map(|it| WaiterDecision { id: it.id, decision: AdmissionDecision::Refuse(Refusal::Overloaded) });
+        (AdmissionDecision::Queue, release)
     }
 
     /// Frees a slot after work that took `took`, and names the waiters that are decided by it.
-    pub fn leave(&mut self, took: Duration, now: Instant) -> Vec<Release> {
+    pub fn release_slot(&mut self, took: Duration, now: Instant) -> Vec<WaiterDecision> {
         assert!(self.running > 0, "only work that was admitted leaves");
         self.running -= 1;
         self.learn(took);
@@ -119,26 +120,26 @@
     }
 
     /// Takes a waiter out that gave up; false if it has been decided already.
-    pub fn give_up(&mut self, id: WaiterId) -> bool {
+    pub fn cancel(&mut self, id: WaiterId) -> bool {
         let at = self.queue.iter().position(|it| it.id == id);
         at.map(|at| self.queue.remove(at)).is_some()
     }
 
     /// Refuses all waiters, because the endpoint takes no new work.
-    pub fn refuse_all(&mut self, refusal: Refusal) -> Vec<Release> {
+    pub fn refuse_waiters(&mut self, refusal: Refusal) -> Vec<WaiterDecision> {
         let waiters = self.queue.drain(..);
-        waiters.map(|it| Release { id: it.id, admission: Admission::Refuse(refusal) }).collect()
+        waiters.map(|it| WaiterDecision { id: it.id, decision: AdmissionDecision::Refuse(refusal) }).collect()
     }
 
     /// Gives free slots to waiters; those that can't be in time are refused at once.
-    pub fn admit_waiters(&mut self, now: Instant) -> Vec<Release> {
+    pub fn admit_waiters(&mut self, now: Instant) -> Vec<WaiterDecision> {
         let mut releases = Vec::new();
         while self.running < self.slots && !self.queue.is_empty() {
             let first = self.queue.remove(0);
             let in_time = now + self.own_run() <= first.deadline;
-            let admission = if in_time { Admission::Run } else { Admission::Refuse(Refusal::TooLate) };
+            let decision = if in_time { AdmissionDecision::Admit } else { AdmissionDecision::Refuse(Refusal::TooLate) };
             self.running += u16::from(in_time);
-            releases.push(Release { id: first.id, admission });
+            releases.push(WaiterDecision { id: first.id, decision });
         }
         releases
     }
@@ -169,6 +170,6 @@
     }
 }
 
-fn runs_before(a: &Arrival, b: &Arrival) -> bool {
+fn runs_before(a: &AdmissionRequest, b: &AdmissionRequest) -> bool {
     (b.importance, a.deadline) < (a.importance, b.deadline)
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -24,7 +24,7 @@
 pub mod wait_queue;
 pub mod watchers;
 
-pub use admission::{Admission, Arrival, Gate, Release, WaiterId};
+pub use admission::{AdmissionController, AdmissionDecision, AdmissionRequest, WaiterDecision, WaiterId};
 pub use budget::RetryBudget;
 pub use choice::{Candidate, Choice, choose};
 pub use detector::{Detector, Evidence, Sample, baseline, enough_evidence, failure_level, level_rate};
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -6,7 +6,7 @@
 };
 
 use jayreach::{
-    decide::{Admission, Arrival, Candidate, Detector, Gate, Sample, choose},
+    decide::{AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, Detector, Sample, choose},
     rows::{
         BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
     },
@@ -279,15 +279,15 @@
     for queued in [0_u16, 10, 28] {
         let time = median(|| {
             let now = Instant::now();
-            let mut gate = Gate::new(7);
-            let arrival = |id: u64| Arrival { id, importance: 50, deadline: now + Duration::from_secs(9) };
-            (0..7 + u64::from(queued)).for_each(|id| _ = gate.arrive(arrival(id), now));
+            let mut gate = AdmissionController::new(7);
+            let arrival = |id: u64| AdmissionRequest { id, importance: 50, deadline: now + Duration::from_secs(9) };
+            (0..7 + u64::from(queued)).for_each(|id| _ = gate.admit(arrival(id), now));
             let mut id = 1000;
             nanos_each(20_000, || {
                 id += 1;
-                let released = gate.leave(Duration::from_millis(1), now);
-                let (admission, _) = gate.arrive(arrival(id), now);
-                black_box((released, admission == Admission::Run));
+                let released = gate.release_slot(Duration::from_millis(1), now);
+                let (admission, _) = gate.admit(arrival(id), now);
+                black_box((released, admission == AdmissionDecision::Admit));
             })
         });
         print_nanos(&format!("admission and release, {queued} queued"), time);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,8 +4,9 @@
 
 use jayreach::{
     decide::{
-        Admission, Arrival, Candidate, Detector, Event, Evidence, FloorStanding, Gate, PathHealth, RetryBudget, Sample,
-        Standing, Tuning, baseline, choose, eligible, enough_evidence, failure_level, level_rate,
+        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, Detector, Event, Evidence, FloorStanding,
+        PathHealth, RetryBudget, Sample, Standing, Tuning, baseline, choose, eligible, enough_evidence, failure_level,
+        level_rate,
     },
     rows::EndpointState,
     targets::Weighs,
@@ -17,13 +18,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn arrival(id: u64, importance: u8, deadline: Instant) -> Arrival {
-    Arrival { id, importance, deadline }
+fn arrival(id: u64, importance: u8, deadline: Instant) -> AdmissionRequest {
+    AdmissionRequest { id, importance, deadline }
 }
 
-fn full_gate(now: Instant) -> Gate {
-    let mut gate = Gate::new(1);
-    gate.arrive(arrival(0, 50, now + SECOND), now);
+fn full_gate(now: Instant) -> AdmissionController {
+    let mut gate = AdmissionController::new(1);
+    gate.admit(arrival(0, 50, now + SECOND), now);
     gate
 }
 
@@ -32,10 +33,10 @@
     let now = Instant::now();
     let mut gate = full_gate(now);
     for (id, importance, ms) in [(1, 30, 900), (2, 90, 900), (3, 90, 500)] {
-        gate.arrive(arrival(id, importance, now + Duration::from_millis(ms)), now);
+        gate.admit(arrival(id, importance, now + Duration::from_millis(ms)), now);
     }
 
-    let order: Vec<_> = (0..3).map(|_| gate.leave(Duration::from_millis(1), now)[0].id).collect();
+    let order: Vec<_> = (0..3).map(|_| gate.release_slot(Duration::from_millis(1), now)[0].id).collect();
 
     assert_eq!(order, [3, 2, 1]);
 }
@@ -45,29 +46,29 @@
     let now = Instant::now();
     let mut gate = full_gate(now);
     for id in 1..=4 {
-        gate.arrive(arrival(id, 30, now + SECOND), now);
+        gate.admit(arrival(id, 30, now + SECOND), now);
     }
 
-    let lookup = gate.arrive(arrival(5, 30, now + SECOND), now);
-    let admits = gate.admits();
-    let charge = gate.arrive(arrival(6, 90, now + SECOND), now);
+    let lookup = gate.admit(arrival(5, 30, now + SECOND), now);
+    let admits = gate.min_importance();
+    let charge = gate.admit(arrival(6, 90, now + SECOND), now);
 
-    assert_eq!(lookup, (Admission::Refuse(Refusal::Overloaded), None));
+    assert_eq!(lookup, (AdmissionDecision::Refuse(Refusal::Overloaded), None));
     assert_eq!(admits, 31);
-    assert_eq!(charge.0, Admission::Wait);
-    assert_eq!(charge.1.expect("someone had to go").admission, Admission::Refuse(Refusal::Overloaded));
+    assert_eq!(charge.0, AdmissionDecision::Queue);
+    assert_eq!(charge.1.expect("someone had to go").decision, AdmissionDecision::Refuse(Refusal::Overloaded));
 }
 
 #[test]
 fn work_that_cannot_be_in_time_is_refused_at_once() {
     let now = Instant::now();
     let mut gate = full_gate(now);
-    gate.leave(Duration::from_millis(400), now);
-    gate.arrive(arrival(1, 50, now + SECOND), now);
+    gate.release_slot(Duration::from_millis(400), now);
+    gate.admit(arrival(1, 50, now + SECOND), now);
 
-    let late = gate.arrive(arrival(2, 50, now + Duration::from_millis(300)), now);
+    let late = gate.admit(arrival(2, 50, now + Duration::from_millis(300)), now);
 
-    assert_eq!(late, (Admission::Refuse(Refusal::TooLate), None));
+    assert_eq!(late, (AdmissionDecision::Refuse(Refusal::TooLate), None));
 }
 
 proptest! {
@@ -79,19 +80,19 @@
         steps in prop::collection::vec((any::<bool>(), 1u8..100, 1u64..500), 1..200),
     ) {
         let start = Instant::now();
-        let mut gate = Gate::new(slots);
+        let mut gate = AdmissionController::new(slots);
         let mut waiting = Vec::new();
         for (id, (arrives, importance, ms)) in steps.into_iter().enumerate() {
             let now = start + Duration::from_millis(id as u64);
             let mut releases = Vec::new();
             if arrives {
-                let (admission, evicted) = gate.arrive(arrival(id as u64, importance, now + Duration::from_millis(ms)), now);
-                if admission == Admission::Wait {
+                let (admission, evicted) = gate.admit(arrival(id as u64, importance, now + Duration::from_millis(ms)), now);
+                if admission == AdmissionDecision::Queue {
                     waiting.push(id as u64);
                 }
                 releases.extend(evicted);
             } else if gate.running() > 0 {
-                releases = gate.leave(Duration::from_millis(ms / 10), now);
+                releases = gate.release_slot(Duration::from_millis(ms / 10), now);
             }
             for it in releases {
                 let at = waiting.iter().position(|id| *id == it.id);
