--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -14,8 +14,8 @@
 use crate::{
     daemon::{client::Client, endpoint},
     decide::{
-        AdmissionController, AdmissionDecision, AdmissionRequest, Event, Sample, Standing, Tuning, WaiterDecision,
-        WaiterId, failure_level,
+        AdmissionController, AdmissionDecision, AdmissionRequest, EjectionConfig, EndpointEvent, EndpointHealth,
+        Sample, WaiterDecision, WaiterId, failure_level,
     },
     rows::{EndpointId, EndpointRow, EndpointState, Incarnation},
     targets::Weighs,
@@ -80,7 +80,7 @@
     service: Box<str>,
     slots: u16,
     last_heard: Instant,
-    standing: Standing,
+    standing: EndpointHealth,
     gate: AdmissionController,
     waiters: Vec<(WaiterId, Sender<AdmissionDecision>)>,
 }
@@ -131,9 +131,9 @@
         endpoint.service = it.service.clone();
         endpoint.gate.set_slots(it.slots);
         let event = match it.state {
-            AnnouncedState::Starting => Event::AnnouncedStarting,
-            AnnouncedState::Serving => Event::AnnouncedServing,
-            AnnouncedState::Leaving => Event::AnnouncedLeaving,
+            AnnouncedState::Starting => EndpointEvent::AnnouncedStarting,
+            AnnouncedState::Serving => EndpointEvent::AnnouncedServing,
+            AnnouncedState::Leaving => EndpointEvent::AnnouncedLeaving,
         };
         endpoint.on(event, now) || resized
     }
@@ -144,7 +144,7 @@
         let mut changed = false;
         for endpoint in &mut inner.endpoints {
             let silent = now.saturating_duration_since(endpoint.last_heard) >= SILENCE;
-            changed |= silent && endpoint.on(Event::Silent, now);
+            changed |= silent && endpoint.on(EndpointEvent::Silent, now);
             changed |= endpoint.standing.tick(now);
         }
         let count = inner.endpoints.len();
@@ -235,7 +235,7 @@
             let mut inner = lock(&self.inner);
             let at = inner.find(&dispatch.endpoint).ok_or(Refusal::EndpointLeaving)?;
             let endpoint = &mut inner.endpoints[at];
-            if !endpoint.standing.admits() {
+            if !endpoint.standing.accepts_work() {
                 return Err(Refusal::EndpointLeaving);
             }
             let (admission, evicted) = endpoint.gate.admit(arrival, Instant::now());
@@ -282,7 +282,7 @@
         }
         if let Some(sample) = sample {
             let state = endpoint.standing.state();
-            if endpoint.standing.sample(sample, measure.baseline, measure.weighs, now) {
+            if endpoint.standing.record_sample(sample, measure.baseline, measure.weighs, now) {
                 log_change(&endpoint.id, state, endpoint.standing.state());
             }
         }
@@ -326,7 +326,7 @@
             service: it.service.clone(),
             slots: it.slots,
             last_heard: now,
-            standing: Standing::new(Tuning::default(), now),
+            standing: EndpointHealth::new(EjectionConfig::default(), now),
             gate: AdmissionController::new(it.slots),
             waiters: Vec::new(),
         }
@@ -338,17 +338,17 @@
             service: self.service.clone(),
             slots: self.slots,
             state: self.standing.state(),
-            failures: failure_level(self.standing.rate()),
+            failures: failure_level(self.standing.failure_rate()),
         }
     }
 
-    fn on(&mut self, event: Event, now: Instant) -> bool {
+    fn on(&mut self, event: EndpointEvent, now: Instant) -> bool {
         let before = self.standing.state();
-        let changed = self.standing.on(event, now);
+        let changed = self.standing.handle(event, now);
         if changed {
             log_change(&self.id, before, self.standing.state());
         }
-        if !self.standing.admits() {
+        if !self.standing.accepts_work() {
             for release in self.gate.refuse_waiters(Refusal::EndpointLeaving) {
                 self.release(Some(release));
             }
--- a/src/daemon/view.rs
+++ b/src/daemon/view.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 
 use crate::{
-    decide::{Candidate, FloorStanding, PathHealth, baseline, choose, eligible},
+    decide::{Candidate, EndpointCapacity, PathHealth, choose, eligible_endpoints, median_failure_rate},
     rows::{DaemonId, EndpointRow, EndpointState, Incarnation, Row},
     targets::{Directory, Importance},
     util::lock,
@@ -234,7 +234,7 @@
         let Some(service) = self.service(service) else { return 0.0 };
         let others = service.targets.iter().filter(|it| *it.row.id != *except);
         let mut levels: Vec<u8> = others.map(|it| it.row.failures).collect();
-        baseline(&mut levels)
+        median_failure_rate(&mut levels)
     }
 
     /// The guards of a service.
@@ -291,9 +291,9 @@
         let floor = directory.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR, |it| it.floor_percent);
         let standings: Vec<_> = targets
             .iter()
-            .map(|it| FloorStanding { slots: it.row.slots, state: it.row.state, failures: it.row.failures })
+            .map(|it| EndpointCapacity { slots: it.row.slots, state: it.row.state, failure_level: it.row.failures })
             .collect();
-        let eligible = eligible(&standings, floor);
+        let eligible = eligible_endpoints(&standings, floor);
         Self { name, targets, eligible }
     }
 
--- a/src/decide/detector.rs
+++ b/src/decide/detector.rs
@@ -41,20 +41,20 @@
 
 /// The test on one endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Detector {
+pub struct FailureDetector {
     /// The evidence in nats; never below zero.
     sum: f64,
     /// The running failure rate, 0 to 1.
     rate: f64,
 }
 
-impl Default for Detector {
+impl Default for FailureDetector {
     fn default() -> Self {
         Self { sum: 0.0, rate: 0.0 }
     }
 }
 
-impl Detector {
+impl FailureDetector {
     /// Takes a sample in; `baseline` is the failure rate of the service's other endpoints, `limit`
     /// how much evidence is enough, in nats.
     pub fn record(&mut self, sample: Sample, baseline: f64, limit: f64) -> Evidence {
@@ -81,7 +81,7 @@
     }
 
     /// The running failure rate, 0 to 1.
-    pub fn rate(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.rate
     }
 
@@ -93,7 +93,7 @@
 
 /// How many nats of evidence eject an endpoint: the two points taken from the curve of detection
 /// time against false ejections (docs/MEASUREMENTS.md, gray failure).
-pub fn enough_evidence(weighs: Weighs) -> f64 {
+pub fn ejection_threshold(weighs: Weighs) -> f64 {
     match weighs {
         Weighs::DetectionTime => 11.0,
         Weighs::FalseEjections => 18.0,
@@ -106,16 +106,16 @@
 }
 
 /// The failure rate of a level.
-pub fn level_rate(level: u8) -> f64 {
+pub fn failure_rate_from_level(level: u8) -> f64 {
     if level == 0 { 0.0 } else { (f64::from(level) - LEVELS).exp2() }
 }
 
 /// The baseline of a service: the median failure rate of the other endpoints; zero if there are none.
-pub fn baseline(others: &mut [u8]) -> f64 {
+pub fn median_failure_rate(others: &mut [u8]) -> f64 {
     if others.is_empty() {
         return 0.0;
     }
     let middle = (others.len() - 1) / 2;
     let (_, median, _) = others.select_nth_unstable(middle);
-    level_rate(*median)
+    failure_rate_from_level(*median)
 }
--- a/src/decide/standing.rs
+++ b/src/decide/endpoint_health.rs
@@ -9,18 +9,18 @@
 
 use crate::{
     chart::Chart,
-    decide::detector::{Detector, Evidence, Sample, enough_evidence},
+    decide::detector::{Evidence, FailureDetector, Sample, ejection_threshold},
     rows::EndpointState,
     targets::Weighs,
 };
 
-static CHART: LazyLock<Chart<EndpointState, Event>> =
+static CHART: LazyLock<Chart<EndpointState, EndpointEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/endpoint.toml")));
 
 /// What happens to an endpoint (charts/endpoint.toml).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Event {
+pub enum EndpointEvent {
     /// It says it is not ready.
     AnnouncedStarting,
     /// It says it takes work.
@@ -47,34 +47,34 @@
 
 /// The lengths of time and counts of the return to service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tuning {
+pub struct EjectionConfig {
     /// How long the first ejection lasts.
-    pub hold_down: Duration,
+    pub initial_hold_down: Duration,
     /// How long an ejection lasts at most.
-    pub hold_down_limit: Duration,
+    pub max_hold_down: Duration,
     /// How long an endpoint must serve for its hold-down to start small again.
-    pub good_conduct: Duration,
+    pub hold_down_reset: Duration,
     /// How many good answers in a row end a trial.
-    pub trial_length: u32,
+    pub trial_successes: u32,
 }
 
-impl Default for Tuning {
+impl Default for EjectionConfig {
     fn default() -> Self {
         Self {
-            hold_down: Duration::from_secs(5),
-            hold_down_limit: Duration::from_secs(300),
-            good_conduct: Duration::from_secs(600),
-            trial_length: 5,
+            initial_hold_down: Duration::from_secs(5),
+            max_hold_down: Duration::from_secs(300),
+            hold_down_reset: Duration::from_secs(600),
+            trial_successes: 5,
         }
     }
 }
 
 /// The standing of one endpoint.
 #[derive(Debug, Clone)]
-pub struct Standing {
-    tuning: Tuning,
+pub struct EndpointHealth {
+    config: EjectionConfig,
     state: EndpointState,
-    detector: Detector,
+    detector: FailureDetector,
     /// When the state was entered.
     since: Instant,
     /// Ejections in a row without good conduct between them; each doubles the hold-down.
@@ -83,11 +83,11 @@
     passed: u32,
 }
 
-impl Standing {
+impl EndpointHealth {
     /// The standing of an endpoint that has just announced itself.
-    pub fn new(tuning: Tuning, now: Instant) -> Self {
+    pub fn new(config: EjectionConfig, now: Instant) -> Self {
         let state = CHART.initial;
-        Self { tuning, state, detector: Detector::default(), since: now, ejections: 0, passed: 0 }
+        Self { config, state, detector: FailureDetector::default(), since: now, ejections: 0, passed: 0 }
     }
 
     /// The state.
@@ -96,13 +96,13 @@
     }
 
     /// The running failure rate, 0 to 1.
-    pub fn rate(&self) -> f64 {
-        self.detector.rate()
+    pub fn failure_rate(&self) -> f64 {
+        self.detector.failure_rate()
     }
 
     /// Whether work may be admitted. What ejected or tried endpoints get is for the ingresses to
     /// say, which know the floor.
-    pub fn admits(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         match self.state {
             EndpointState::Serving | EndpointState::Suspect | EndpointState::Ejected | EndpointState::Trial => true,
             EndpointState::Starting | EndpointState::Leaving | EndpointState::Gone => false,
@@ -110,7 +110,7 @@
     }
 
     /// Takes an event; returns whether the state changed.
-    pub fn on(&mut self, event: Event, now: Instant) -> bool {
+    pub fn handle(&mut self, event: EndpointEvent, now: Instant) -> bool {
         let Some(next) = CHART.next(self.state, event) else { return false };
         match next {
             EndpointState::Ejected => self.enter_ejected(now),
@@ -126,20 +126,20 @@
 
     fn enter_ejected(&mut self, now: Instant) {
         let served = now.saturating_duration_since(self.since);
-        if self.state != EndpointState::Trial && served >= self.tuning.good_conduct {
+        if self.state != EndpointState::Trial && served >= self.config.hold_down_reset {
             self.ejections = 0;
         }
         self.ejections += 1;
     }
 
     /// Takes a sample in; returns whether the state changed.
-    pub fn sample(&mut self, sample: Sample, baseline: f64, weighs: Weighs, now: Instant) -> bool {
-        let evidence = self.detector.record(sample, baseline, enough_evidence(weighs));
+    pub fn record_sample(&mut self, sample: Sample, baseline: f64, weighs: Weighs, now: Instant) -> bool {
+        let evidence = self.detector.record(sample, baseline, ejection_threshold(weighs));
         match self.state {
             EndpointState::Serving | EndpointState::Suspect => match evidence {
-                Evidence::Clear => self.on(Event::EvidenceClear, now),
-                Evidence::Doubtful => self.on(Event::EvidenceDoubtful, now),
-                Evidence::Bad => self.on(Event::EvidenceBad, now),
+                Evidence::Clear => self.handle(EndpointEvent::EvidenceClear, now),
+                Evidence::Doubtful => self.handle(EndpointEvent::EvidenceDoubtful, now),
+                Evidence::Bad => self.handle(EndpointEvent::EvidenceBad, now),
             },
             EndpointState::Trial => self.try_out(sample, now),
             EndpointState::Starting | EndpointState::Ejected | EndpointState::Leaving | EndpointState::Gone => false,
@@ -148,10 +148,10 @@
 
     fn try_out(&mut self, sample: Sample, now: Instant) -> bool {
         match sample {
-            Sample::Bad => self.on(Event::TrialFailed, now),
+            Sample::Bad => self.handle(EndpointEvent::TrialFailed, now),
             Sample::Good => {
                 self.passed += 1;
-                self.passed >= self.tuning.trial_length && self.on(Event::TrialPassed, now)
+                self.passed >= self.config.trial_successes && self.handle(EndpointEvent::TrialPassed, now)
             }
         }
     }
@@ -162,8 +162,8 @@
             return false;
         }
         match self.state {
-            EndpointState::Ejected => self.on(Event::HoldDownOver, now),
-            EndpointState::Trial if self.passed == 0 => self.on(Event::TrialStarved, now),
+            EndpointState::Ejected => self.handle(EndpointEvent::HoldDownOver, now),
+            EndpointState::Trial if self.passed == 0 => self.handle(EndpointEvent::TrialStarved, now),
             _ => false,
         }
     }
@@ -171,6 +171,6 @@
     /// How long this ejection lasts: doubled for each one before it.
     pub fn hold_down(&self) -> Duration {
         let doublings = self.ejections.saturating_sub(1).min(16);
-        self.tuning.hold_down.saturating_mul(1 << doublings).min(self.tuning.hold_down_limit)
+        self.config.initial_hold_down.saturating_mul(1 << doublings).min(self.config.max_hold_down)
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -2,11 +2,11 @@
 
 mod admission;
 mod budget;
+mod capacity_floor;
 mod choice;
 mod detector;
-mod floor;
+mod endpoint_health;
 mod path;
-mod standing;
 
 pub mod allowance;
 pub mod fingerprint;
@@ -26,8 +26,10 @@
 
 pub use admission::{AdmissionController, AdmissionDecision, AdmissionRequest, WaiterDecision, WaiterId};
 pub use budget::RetryBudget;
+pub use capacity_floor::{EndpointCapacity, eligible_endpoints};
 pub use choice::{Candidate, Choice, choose};
-pub use detector::{Detector, Evidence, Sample, baseline, enough_evidence, failure_level, level_rate};
-pub use floor::{Standing as FloorStanding, eligible};
+pub use detector::{
+    Evidence, FailureDetector, Sample, ejection_threshold, failure_level, failure_rate_from_level, median_failure_rate,
+};
+pub use endpoint_health::{EjectionConfig, EndpointEvent, EndpointHealth};
 pub use path::PathHealth;
-pub use standing::{Event, Standing, Tuning};
--- a/standins/src/gray.rs
+++ b/standins/src/gray.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use jayreach::decide::{Detector, Evidence, Sample, baseline, failure_level};
+use jayreach::decide::{Evidence, FailureDetector, Sample, failure_level, median_failure_rate};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
 /// How long an ejected endpoint stays out, in seconds; the same for every rule.
@@ -121,7 +121,7 @@
 
 #[derive(Clone, Default)]
 struct Endpoint {
-    detector: Detector,
+    detector: FailureDetector,
     in_a_row: u32,
     good: u32,
     bad: u32,
@@ -176,8 +176,8 @@
         let ejected = match self.rule {
             Rule::Detector(limit) => {
                 let others = self.endpoints.iter().enumerate().filter(|it| it.0 != at);
-                let mut levels: Vec<u8> = others.map(|it| failure_level(it.1.detector.rate())).collect();
-                let baseline = baseline(&mut levels);
+                let mut levels: Vec<u8> = others.map(|it| failure_level(it.1.detector.failure_rate())).collect();
+                let baseline = median_failure_rate(&mut levels);
                 let sample = if failed { Sample::Bad } else { Sample::Good };
                 self.endpoints[at].detector.record(sample, baseline, limit) == Evidence::Bad
             }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -6,7 +6,7 @@
 };
 
 use jayreach::{
-    decide::{AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, Detector, Sample, choose},
+    decide::{AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, FailureDetector, Sample, choose},
     rows::{
         BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
     },
@@ -292,7 +292,7 @@
         });
         print_nanos(&format!("admission and release, {queued} queued"), time);
     }
-    let mut detector = Detector::default();
+    let mut detector = FailureDetector::default();
     print_nanos(
         "evidence",
         median(|| nanos_each(100_000, || _ = black_box(detector.record(Sample::Good, 0.01, 11.0)))),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,9 +4,9 @@
 
 use jayreach::{
     decide::{
-        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, Detector, Event, Evidence, FloorStanding,
-        PathHealth, RetryBudget, Sample, Standing, Tuning, baseline, choose, eligible, enough_evidence, failure_level,
-        level_rate,
+        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, EjectionConfig, EndpointCapacity,
+        EndpointEvent, EndpointHealth, Evidence, FailureDetector, PathHealth, RetryBudget, Sample, choose,
+        ejection_threshold, eligible_endpoints, failure_level, failure_rate_from_level, median_failure_rate,
     },
     rows::EndpointState,
     targets::Weighs,
@@ -112,11 +112,11 @@
         use EndpointState::{Ejected, Gone, Leaving, Serving, Starting, Suspect, Trial};
         let all = [Starting, Serving, Suspect, Ejected, Trial, Leaving, Gone];
         let endpoints: Vec<_> =
-            states.iter().map(|it| FloorStanding { slots: it.0, state: all[it.1], failures: it.2 }).collect();
+            states.iter().map(|it| EndpointCapacity { slots: it.0, state: all[it.1], failure_level: it.2 }).collect();
 
-        let allowed = eligible(&endpoints, floor);
+        let allowed = eligible_endpoints(&endpoints, floor);
 
-        let announced = |it: &&FloorStanding| matches!(it.state, Serving | Suspect | Ejected | Trial);
+        let announced = |it: &&EndpointCapacity| matches!(it.state, Serving | Suspect | Ejected | Trial);
         let total: u32 = endpoints.iter().filter(announced).map(|it| u32::from(it.slots)).sum();
         let given: u32 = endpoints.iter().zip(&allowed).filter(|it| *it.1).map(|it| u32::from(it.0.slots)).sum();
         prop_assert!(given * 100 >= total * u32::from(floor).min(100));
@@ -126,16 +126,16 @@
     }
 }
 
-fn serving(now: Instant) -> Standing {
-    let mut standing = Standing::new(Tuning::default(), now);
-    standing.on(Event::AnnouncedServing, now);
+fn serving(now: Instant) -> EndpointHealth {
+    let mut standing = EndpointHealth::new(EjectionConfig::default(), now);
+    standing.handle(EndpointEvent::AnnouncedServing, now);
     standing
 }
 
-fn eject(standing: &mut Standing, now: Instant) -> u32 {
+fn eject(standing: &mut EndpointHealth, now: Instant) -> u32 {
     let mut count = 0;
     while standing.state() != EndpointState::Ejected {
-        standing.sample(Sample::Bad, 0.0, Weighs::DetectionTime, now);
+        standing.record_sample(Sample::Bad, 0.0, Weighs::DetectionTime, now);
         count += 1;
     }
     count
@@ -152,8 +152,8 @@
         held.push(standing.hold_down().as_secs());
         now += standing.hold_down();
         assert!(standing.tick(now));
-        for _ in 0..Tuning::default().trial_length {
-            standing.sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+        for _ in 0..EjectionConfig::default().trial_successes {
+            standing.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
         }
         assert_eq!(standing.state(), EndpointState::Serving);
     }
@@ -173,7 +173,7 @@
     }
 
     assert_eq!(standing.state(), EndpointState::Suspect);
-    standing.sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+    standing.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
     assert_eq!(standing.state(), EndpointState::Serving);
 }
 
@@ -182,11 +182,11 @@
 #[case(Weighs::FalseEjections)]
 fn trouble_that_all_endpoints_share_ejects_nobody(#[case] weighs: Weighs) {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut detector = Detector::default();
+    let mut detector = FailureDetector::default();
 
     let worst = (0..5_000).map(|_| {
         let sample = if rng.random_bool(0.3) { Sample::Bad } else { Sample::Good };
-        detector.record(sample, 0.3, enough_evidence(weighs))
+        detector.record(sample, 0.3, ejection_threshold(weighs))
     });
 
     assert!(worst.into_iter().all(|it| it != Evidence::Bad));
@@ -194,10 +194,10 @@
 
 #[test]
 fn the_baseline_is_the_median_of_the_others() {
-    assert_eq!(baseline(&mut []), 0.0);
-    assert_eq!(baseline(&mut [0, 11, 0]), 0.0);
-    assert_eq!(baseline(&mut [10, 10, 10, 0]), 0.5);
-    assert_eq!(failure_level(level_rate(7)), 7);
+    assert_eq!(median_failure_rate(&mut []), 0.0);
+    assert_eq!(median_failure_rate(&mut [0, 11, 0]), 0.0);
+    assert_eq!(median_failure_rate(&mut [10, 10, 10, 0]), 0.5);
+    assert_eq!(failure_level(failure_rate_from_level(7)), 7);
 }
 
 #[test]
