--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -51,7 +51,7 @@
         pool::Pool,
         view::View,
     },
-    decide::RetryBudget,
+    decide::ClassRetryBudget,
     error::Error,
     rows::{Incarnation, OwnClaims, Row, Stamp, Table},
     settings::Settings,
@@ -89,18 +89,18 @@
 
 /// The retry budgets by class.
 #[derive(Default)]
-struct Budgets(Mutex<BTreeMap<Box<str>, RetryBudget>>);
+struct Budgets(Mutex<BTreeMap<Box<str>, ClassRetryBudget>>);
 
 impl Budgets {
     fn earn(&self, class: &str) {
-        self.with(class, RetryBudget::earn);
+        self.with(class, ClassRetryBudget::deposit);
     }
 
     fn spend(&self, class: &str) -> bool {
-        self.with(class, RetryBudget::spend)
+        self.with(class, ClassRetryBudget::withdraw)
     }
 
-    fn with<T>(&self, class: &str, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with<T>(&self, class: &str, act: impl FnOnce(&mut ClassRetryBudget) -> T) -> T {
         let mut budgets = lock(&self.0);
         if let Some(it) = budgets.get_mut(class) {
             return act(it);
--- a/src/daemon/view.rs
+++ b/src/daemon/view.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 
 use crate::{
-    decide::{Candidate, EndpointCapacity, PathHealth, choose, eligible_endpoints, median_failure_rate},
+    decide::{Candidate, EndpointCapacity, PathHealth, choose_endpoint, eligible_endpoints, median_failure_rate},
     rows::{DaemonId, EndpointRow, EndpointState, Incarnation, Row},
     targets::{Directory, Importance},
     util::lock,
@@ -220,7 +220,7 @@
         let allowed = service.targets.iter().zip(&service.eligible);
         let allowed: Vec<_> = allowed.filter(|(_, ok)| **ok).map(|(it, _)| it).collect();
         let candidates: Vec<_> = allowed.iter().map(|it| it.candidate(importance, tried, now)).collect();
-        let at = choose(&candidates, rng).ok_or(Refusal::NoEndpoint)?;
+        let at = choose_endpoint(&candidates, rng).ok_or(Refusal::NoEndpoint)?;
         let refused = |it: &&Arc<Target>| it.told(now).is_some_and(|told| told.admits > importance);
         if candidates[at].avoid && allowed.iter().all(refused) {
             metrics::counter!("jayreach_early_refusals_total").increment(1);
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -23,13 +23,13 @@
 }
 
 /// The chosen candidate's place in the list.
-pub type Choice = usize;
+pub type CandidateIndex = usize;
 
 /// Chooses among candidates; `None` if there is none.
 ///
 /// Two are drawn among those that are near; if the better one is loaded, two are drawn among all.
 /// One to avoid is chosen only if all are to be avoided.
-pub fn choose(candidates: &[Candidate], rng: &mut impl Rng) -> Option<Choice> {
+pub fn choose_endpoint(candidates: &[Candidate], rng: &mut impl Rng) -> Option<CandidateIndex> {
     let near = better_of_two(candidates, rng, |it| it.near && !it.avoid);
     if let Some(at) = near.filter(|at| score(&candidates[*at]) < NEAR_LIMIT) {
         return Some(at);
@@ -37,7 +37,11 @@
     better_of_two(candidates, rng, |it| !it.avoid).or_else(|| better_of_two(candidates, rng, |_| true))
 }
 
-fn better_of_two(candidates: &[Candidate], rng: &mut impl Rng, allowed: impl Fn(&Candidate) -> bool) -> Option<Choice> {
+fn better_of_two(
+    candidates: &[Candidate],
+    rng: &mut impl Rng,
+    allowed: impl Fn(&Candidate) -> bool,
+) -> Option<CandidateIndex> {
     let count = candidates.iter().filter(|it| allowed(it)).count();
     if count == 0 {
         return None;
--- a/src/decide/budget.rs
+++ b/src/decide/class_retry_budget.rs
@@ -7,25 +7,25 @@
 
 /// The retry budget of one class at one ingress.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RetryBudget {
+pub struct ClassRetryBudget {
     /// In retries; from zero to `LIMIT`.
     saved: f64,
 }
 
-impl Default for RetryBudget {
+impl Default for ClassRetryBudget {
     fn default() -> Self {
         Self { saved: LIMIT }
     }
 }
 
-impl RetryBudget {
+impl ClassRetryBudget {
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + SHARE).min(LIMIT);
     }
 
     /// Takes one retry out, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let enough = self.saved >= 1.0;
         if enough {
             self.saved -= 1.0;
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,9 +1,9 @@
 //! Decisions: pure code, with time and randomness passed in.
 
 mod admission;
-mod budget;
 mod capacity_floor;
 mod choice;
+mod class_retry_budget;
 mod detector;
 mod endpoint_health;
 mod path;
@@ -25,9 +25,9 @@
 pub mod watchers;
 
 pub use admission::{AdmissionController, AdmissionDecision, AdmissionRequest, WaiterDecision, WaiterId};
-pub use budget::RetryBudget;
 pub use capacity_floor::{EndpointCapacity, eligible_endpoints};
-pub use choice::{Candidate, Choice, choose};
+pub use choice::{Candidate, CandidateIndex, choose_endpoint};
+pub use class_retry_budget::ClassRetryBudget;
 pub use detector::{
     Evidence, FailureDetector, Sample, ejection_threshold, failure_level, failure_rate_from_level, median_failure_rate,
 };
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -6,7 +6,9 @@
 };
 
 use jayreach::{
-    decide::{AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, FailureDetector, Sample, choose},
+    decide::{
+        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, FailureDetector, Sample, choose_endpoint,
+    },
     rows::{
         BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
     },
@@ -273,7 +275,7 @@
         let candidates: Vec<_> = (0..count)
             .map(|it| Candidate { near: it % 6 == 0, suspect: false, avoid: false, load: it % 5, slots: 7 })
             .collect();
-        let time = median(|| nanos_each(20_000, || _ = black_box(choose(&candidates, rng))));
+        let time = median(|| nanos_each(20_000, || _ = black_box(choose_endpoint(&candidates, rng))));
         print_nanos(&format!("choice among {count}"), time);
     }
     for queued in [0_u16, 10, 28] {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,9 +4,10 @@
 
 use jayreach::{
     decide::{
-        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, EjectionConfig, EndpointCapacity,
-        EndpointEvent, EndpointHealth, Evidence, FailureDetector, PathHealth, RetryBudget, Sample, choose,
-        ejection_threshold, eligible_endpoints, failure_level, failure_rate_from_level, median_failure_rate,
+        AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, ClassRetryBudget, EjectionConfig,
+        EndpointCapacity, EndpointEvent, EndpointHealth, Evidence, FailureDetector, PathHealth, Sample,
+        choose_endpoint, ejection_threshold, eligible_endpoints, failure_level, failure_rate_from_level,
+        median_failure_rate,
     },
     rows::EndpointState,
     targets::Weighs,
@@ -208,20 +209,20 @@
     let avoided = Candidate { avoid: true, ..it };
     let mut rng = SmallRng::seed_from_u64(1);
 
-    assert_eq!(choose(&[far, it], &mut rng), Some(1));
-    assert_eq!(choose(&[far, busy], &mut rng), Some(0));
-    assert_eq!(choose(&[avoided, far], &mut rng), Some(1));
-    assert_eq!(choose(&[avoided], &mut rng), Some(0));
-    assert_eq!(choose(&[], &mut rng), None);
+    assert_eq!(choose_endpoint(&[far, it], &mut rng), Some(1));
+    assert_eq!(choose_endpoint(&[far, busy], &mut rng), Some(0));
+    assert_eq!(choose_endpoint(&[avoided, far], &mut rng), Some(1));
+    assert_eq!(choose_endpoint(&[avoided], &mut rng), Some(0));
+    assert_eq!(choose_endpoint(&[], &mut rng), None);
 }
 
 #[test]
 fn retries_stay_a_tenth_of_the_traffic() {
-    let mut budget = RetryBudget::default();
+    let mut budget = ClassRetryBudget::default();
 
     let spent = (0..1_000).filter(|_| {
-        budget.earn();
-        budget.spend()
+        budget.deposit();
+        budget.withdraw()
     });
 
     assert!(spent.count() <= 110);
