--- a/src/decide/allowance.rs
+++ b/src/decide/guard_retry_budget.rs
@@ -31,7 +31,7 @@
 
 /// What the fleet may spend on each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RetryBudgetConfig {
     /// Arrivals beyond the first, as a share of requests.
     pub ratio: f64,
     /// More of them in each window, for all guards of a service together.
@@ -40,7 +40,7 @@
 
 /// An arrival beyond the first of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Repeat {
+pub struct Retry {
     /// The rank of its class, or of the work that made it; 0 goes first.
     pub rank: u32,
     /// Whether running work waits for it.
@@ -49,8 +49,8 @@
 
 /// The allowance at one guard.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Allowance {
-    terms: Terms,
+pub struct GuardRetryBudget {
+    config: RetryBudgetConfig,
     /// How many guards share the slack; `None` until that is known.
     guards: Option<NonZeroUsize>,
     /// In repeats; at most the bucket's size. Below zero after calls of repeated work, which are not held
@@ -60,14 +60,14 @@
     wanted: Vec<(u32, Instant)>,
 }
 
-impl Allowance {
+impl GuardRetryBudget {
     /// The allowance of a guard that has just started.
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, guards: None, tokens: 0.0, wanted: Vec::new() }
+    pub fn new(config: RetryBudgetConfig) -> Self {
+        Self { config, guards: None, tokens: 0.0, wanted: Vec::new() }
     }
 
     /// Takes in how many guards share the slack.
-    pub fn share_with(&mut self, guards: usize) {
+    pub fn set_guard_count(&mut self, guards: usize) {
         let before = self.guards.replace(NonZeroUsize::new(guards).unwrap_or(NonZeroUsize::MIN));
         match before {
             None => self.tokens += (self.size() * AT_START).max(1.0),
@@ -79,23 +79,23 @@
     }
 
     /// Counts an arrival, of which `repeat_share` counts as a repeat.
-    pub fn count(&mut self, repeat_share: f64) {
+    pub fn record_arrival(&mut self, repeat_share: f64) {
         self.fill(self.worth(repeat_share));
     }
 
     /// Takes back what was counted for a place that was not used: nothing arrived. Places are often
     /// given by two guards at once under load, and firsts that never came would raise the allowance.
-    pub fn refund(&mut self, repeat_share: f64) {
+    pub fn undo_arrival(&mut self, repeat_share: f64) {
         self.fill(-self.worth(repeat_share));
     }
 
     /// The tokens that an arrival brings, below zero for those that it takes.
     fn worth(&self, repeat_share: f64) -> f64 {
-        self.terms.ratio * (1.0 - repeat_share) - repeat_share
+        self.config.ratio * (1.0 - repeat_share) - repeat_share
     }
 
     /// A repeat is wanted here, whether it may arrive or not.
-    pub fn want(&mut self, repeat: Repeat, now: Instant) {
+    pub fn record_demand(&mut self, repeat: Retry, now: Instant) {
         match self.wanted.binary_search_by_key(&repeat.rank, |it| it.0) {
             Ok(at) => self.wanted[at].1 = now,
             Err(at) => self.wanted.insert(at, (repeat.rank, now)),
@@ -103,7 +103,7 @@
     }
 
     /// Whether one more repeat may arrive.
-    pub fn allows(&self, repeat: Repeat, now: Instant) -> bool {
+    pub fn allows(&self, repeat: Retry, now: Instant) -> bool {
         let recent = |it: &(u32, Instant)| now.saturating_duration_since(it.1) < WANTED_FOR;
         let yields = self.wanted.iter().take_while(|it| it.0 < repeat.rank).any(recent);
         // A caller's repeat leaves a part to calls, and any repeat one to more urgent work.
@@ -112,7 +112,7 @@
     }
 
     /// Whether no repeat may arrive, of whatever work.
-    pub fn is_used_up(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.tokens < 1.0
     }
 
@@ -123,6 +123,6 @@
     /// What the bucket holds: this guard's part of the slack, or one repeat where that is less, since a
     /// smaller bucket would allow none ever.
     fn size(&self) -> f64 {
-        (self.terms.slack * SLACK_USED / self.guards.map_or(1, NonZeroUsize::get) as f64).max(1.0)
+        (self.config.slack * SLACK_USED / self.guards.map_or(1, NonZeroUsize::get) as f64).max(1.0)
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -8,8 +8,8 @@
 mod endpoint_health;
 mod path;
 
-pub mod allowance;
 pub mod fingerprint;
+pub mod guard_retry_budget;
 pub mod life;
 pub mod origin;
 pub mod pace;
--- a/src/decide/wait_queue.rs
+++ b/src/decide/wait_queue.rs
@@ -8,7 +8,7 @@
 
 use std::time::Instant;
 
-use super::{allowance::Repeat, fingerprint::Fingerprint, suspicion::Standing};
+use super::{fingerprint::Fingerprint, guard_retry_budget::Retry, suspicion::Standing};
 
 /// So many places go to the more urgent while others wait; then one goes to those. A ninth of the places costs
 /// the urgent class little, and lies above the quarter of the average share at which users call a class starved
@@ -38,7 +38,7 @@
     /// After this it can't be in time.
     pub useful_until: Instant,
     /// Whether it needs an allowance for repeats.
-    pub needs_allowance: bool,
+    pub is_retry: bool,
     /// How much of it counts as a repeat, 0 to 1.
     pub repeat_share: f64,
     /// Its class.
@@ -51,8 +51,8 @@
 
 impl Waiter {
     /// It, as the allowance for repeats sees it.
-    pub fn repeat(&self) -> Repeat {
-        Repeat { rank: self.rank, call: self.call }
+    pub fn retry(&self) -> Retry {
+        Retry { rank: self.rank, call: self.call }
     }
 }
 
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     decide::{
-        allowance::{Allowance, Terms},
         fingerprint::Fingerprint,
+        guard_retry_budget::{GuardRetryBudget, RetryBudgetConfig},
         life::EndpointId,
         origin::Origins,
         pace::Pace,
@@ -139,7 +139,7 @@
     senders: Vec<(WaiterId, PlaceSender)>,
     ledger: Ledger,
     pace: Pace,
-    allowance: Allowance,
+    allowance: GuardRetryBudget,
     /// Requests that end endpoints.
     quarantine: Quarantine,
     /// Of which of them there is something to tell.
@@ -201,7 +201,12 @@
 
 impl Guard {
     /// A guard that knows no endpoint yet.
-    pub fn new(incarnation: Incarnation, announce_every: Duration, terms: Terms, events: Rc<Events>) -> Self {
+    pub fn new(
+        incarnation: Incarnation,
+        announce_every: Duration,
+        retry_budget: RetryBudgetConfig,
+        events: Rc<Events>,
+    ) -> Self {
         Self {
             announce_every,
             events,
@@ -212,7 +217,7 @@
                 senders: Vec::new(),
                 ledger: Ledger::new(incarnation),
                 pace: Pace::default(),
-                allowance: Allowance::new(terms),
+                allowance: GuardRetryBudget::new(retry_budget),
                 quarantine: Quarantine::default(),
                 quarantine_news: Vec::new(),
                 quarantine_found: Vec::new(),
@@ -261,7 +266,7 @@
 
     /// Whether no repeat may arrive now.
     pub fn allowance_used(&self) -> bool {
-        self.state.borrow().allowance.is_used_up()
+        self.state.borrow().allowance.is_exhausted()
     }
 
     /// How many runs are under way.
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -10,7 +10,7 @@
 use super::{EndpointPhase, Guard, PlaceSender, State, Surroundings, count, ledger::Purpose};
 use crate::{
     decide::{
-        allowance::Repeat,
+        guard_retry_budget::Retry,
         pace::Pace,
         suspicion::Standing,
         wait_queue::{Waiter, WaiterId},
@@ -89,11 +89,11 @@
         }
         // The guards of a service know better than an ingress whether callers use a route.
         let call = req.call && self.origins.says(&req.route) != Some(true);
-        self.allowance.share_with(known.guards);
+        self.allowance.set_guard_count(known.guards);
         if req.arrival == Arrival::Repeat {
-            let repeat = Repeat { rank: req.rank, call };
-            self.allowance.want(repeat, now);
-            if known.calls_tight || !self.allowance.allows(repeat, now) {
+            let retry = Retry { rank: req.rank, call };
+            self.allowance.record_demand(retry, now);
+            if known.calls_tight || !self.allowance.allows(retry, now) {
                 return Err(Refusal::NoAllowance);
             }
         }
@@ -108,7 +108,7 @@
             accepts: req.accepts,
             arrived: now,
             useful_until: now + req.useful_for,
-            needs_allowance: req.arrival == Arrival::Repeat,
+            is_retry: req.arrival == Arrival::Repeat,
             repeat_share: req.arrival.repeat_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
@@ -131,7 +131,7 @@
                 endpoint.record.admits(it.accepts, it.trial, trials, now)
                     && (it.released || !case.is_held())
                     && !(case.is_suspect() && suspect_here)
-                    && (!it.needs_allowance || allowance.allows(it.repeat(), now))
+                    && (!it.is_retry || allowance.allows(it.retry(), now))
                     && fits(*ends, pace, &it.route, now)
             };
             let waiter = queue.next(now, admits)?;
@@ -152,7 +152,7 @@
                 continue;
             }
             endpoint.record.begun(now);
-            allowance.count(waiter.repeat_share);
+            allowance.record_arrival(waiter.repeat_share);
             return Some(id);
         }
         None
@@ -167,7 +167,7 @@
             None => Some(Refusal::Elsewhere),
             Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
             Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(Refusal::Suspect),
-            Some(_) if it.needs_allowance && !allowance.allows(it.repeat(), now) => Some(Refusal::NoAllowance),
+            Some(_) if it.is_retry && !allowance.allows(it.retry(), now) => Some(Refusal::NoAllowance),
             Some(_) => None,
         };
         while let Some(waiter) = queue.take(|it| refusal(it).is_some()) {
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -202,7 +202,7 @@
             state.slot_time.worked(on, now.saturating_duration_since(it.begun));
         }
         if unused {
-            state.allowance.refund(given.purpose.repeat_share);
+            state.allowance.undo_arrival(given.purpose.repeat_share);
         }
         if may_go_on {
             state.keep_lingering(given, now);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -44,7 +44,7 @@
 
 use crate::{
     decide::{
-        allowance::Terms,
+        guard_retry_budget::RetryBudgetConfig,
         stopping::{Stage, Stop},
         watchers::Substitution,
     },
@@ -140,13 +140,13 @@
 impl Proxy {
     fn new(settings: Settings, path: &Path, events: Rc<Events>) -> Result<Self, Error> {
         let now = clock::now();
-        let terms = Terms { ratio: settings.retry_ratio, slack: settings.retry_slack };
+        let retry_budget = RetryBudgetConfig { ratio: settings.retry_ratio, slack: settings.retry_slack };
         Ok(Self {
             name: settings.name.clone(),
             started: now,
             settings_path: path.into(),
             store: Store::new(settings.store),
-            guard: Rc::new(Guard::new(rand::random(), settings.announce_every, terms, Rc::clone(&events))),
+            guard: Rc::new(Guard::new(rand::random(), settings.announce_every, retry_budget, Rc::clone(&events))),
             events,
             config: RefCell::default(),
             findings: RefCell::default(),
--- a/tests/allowance.rs
+++ b/tests/guard_retry_budget.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use jayreach::decide::allowance::{Allowance, Repeat, Terms};
+use jayreach::decide::guard_retry_budget::{GuardRetryBudget, Retry, RetryBudgetConfig};
 use proptest::prelude::*;
 use rand::{SeedableRng as _, rngs::SmallRng};
 
-const CALL: Repeat = Repeat { rank: 0, call: true };
-const REQUEST: Repeat = Repeat { rank: 0, call: false };
+const CALL: Retry = Retry { rank: 0, call: true };
+const REQUEST: Retry = Retry { rank: 0, call: false };
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
@@ -29,14 +29,14 @@
                 let first = rng.random_range(0..guards);
                 busy_before = std::mem::replace(&mut busy, first..rng.random_range(first..guards) + 1);
             }
-            all[rng.random_range(busy.clone())].count(0.0);
+            all[rng.random_range(busy.clone())].record_arrival(0.0);
             arrivals.push((tick * 10, false));
             let storm = tick % (2 * CALM) >= CALM;
             if storm && rng.random_bool(pressure) {
                 let elsewhere = rng.random_bool(0.5);
                 let guard = &mut all[rng.random_range(if elsewhere { busy_before.clone() } else { busy.clone() })];
                 if guard.allows(CALL, Instant::now()) {
-                    guard.count(1.0);
+                    guard.record_arrival(1.0);
                     arrivals.push((tick * 10, true));
                 }
             }
@@ -54,11 +54,11 @@
 }
 
 /// An allowance that has saved up all it may.
-fn allowance(slack: f64, guards: usize) -> Allowance {
-    let mut allowance = Allowance::new(Terms { ratio: 0.2, slack });
-    allowance.share_with(guards);
+fn allowance(slack: f64, guards: usize) -> GuardRetryBudget {
+    let mut allowance = GuardRetryBudget::new(RetryBudgetConfig { ratio: 0.2, slack });
+    allowance.set_guard_count(guards);
     for _ in 0..500 {
-        allowance.count(0.0);
+        allowance.record_arrival(0.0);
     }
     allowance
 }
@@ -66,11 +66,11 @@
 #[test]
 fn a_repeat_that_did_not_arrive_is_given_back() {
     let mut allowance = allowance(4.0, 1);
-    allowance.count(1.0);
-    allowance.count(1.0);
+    allowance.record_arrival(1.0);
+    allowance.record_arrival(1.0);
 
     let used_up = !allowance.allows(CALL, Instant::now());
-    allowance.refund(1.0);
+    allowance.undo_arrival(1.0);
 
     assert!(used_up, "six tenths of the slack are handed out");
     assert!(!allowance.allows(REQUEST, Instant::now()), "callers' repeats leave a part to those of calls");
@@ -80,13 +80,13 @@
 #[test]
 fn first_arrivals_that_never_came_allow_no_repeats() {
     let mut allowance = allowance(0.0, 1);
-    allowance.count(1.0);
+    allowance.record_arrival(1.0);
     for _ in 0..5 {
-        allowance.count(0.0);
+        allowance.record_arrival(0.0);
     }
 
     let before = allowance.allows(CALL, Instant::now());
-    allowance.refund(0.0);
+    allowance.undo_arrival(0.0);
 
     assert!(before, "one repeat for five requests");
     assert!(!allowance.allows(CALL, Instant::now()), "four requests allow none");
@@ -96,15 +96,15 @@
 fn calls_of_repeated_work_are_paid_back_before_the_next_repeat() {
     let mut allowance = allowance(4.0, 1);
     for _ in 0..5 {
-        allowance.count(1.0);
+        allowance.record_arrival(1.0);
     }
 
     for _ in 0..17 {
-        allowance.count(0.0);
+        allowance.record_arrival(0.0);
     }
     let before = allowance.allows(CALL, Instant::now());
     for _ in 0..2 {
-        allowance.count(0.0);
+        allowance.record_arrival(0.0);
     }
 
     assert!(!before, "what the calls took beyond the bucket, and the next repeat, take eighteen requests");
@@ -112,10 +112,10 @@
 }
 
 /// How many repeats an allowance still allows to calls.
-fn left(mut allowance: Allowance) -> usize {
+fn left(mut allowance: GuardRetryBudget) -> usize {
     let spend = |_: &()| {
         let allowed = allowance.allows(CALL, Instant::now());
-        allowance.count(1.0);
+        allowance.record_arrival(1.0);
         allowed
     };
     std::iter::repeat(()).take_while(spend).count()
@@ -123,30 +123,30 @@
 
 #[test]
 fn a_guard_that_has_just_started_has_less_than_half_of_its_part() {
-    let mut anew = Allowance::new(Terms { ratio: 0.2, slack: 60.0 });
+    let mut anew = GuardRetryBudget::new(RetryBudgetConfig { ratio: 0.2, slack: 60.0 });
 
-    anew.share_with(2);
+    anew.set_guard_count(2);
 
     assert_eq!((left(anew), left(allowance(60.0, 2))), (7, 18), "what ran before it started is not known");
 }
 
 #[test]
 fn a_guard_that_finds_the_others_later_has_no_more_than_its_part() {
-    let mut anew = Allowance::new(Terms { ratio: 0.2, slack: 60.0 });
+    let mut anew = GuardRetryBudget::new(RetryBudgetConfig { ratio: 0.2, slack: 60.0 });
 
-    anew.share_with(1);
+    anew.set_guard_count(1);
     let alone = left(anew.clone());
-    anew.share_with(6);
+    anew.set_guard_count(6);
 
     assert_eq!((alone, left(anew)), (14, 2));
 }
 
 #[test]
 fn a_caller_s_repeat_is_allowed_from_the_start() {
-    let mut anew = Allowance::new(Terms { ratio: 0.2, slack: 58.0 });
+    let mut anew = GuardRetryBudget::new(RetryBudgetConfig { ratio: 0.2, slack: 58.0 });
 
-    anew.share_with(8);
-    anew.count(0.0);
+    anew.set_guard_count(8);
+    anew.record_arrival(0.0);
 
     assert!(anew.allows(REQUEST, Instant::now()), "the deployment's first gray endpoints cost a repeat each");
 }
@@ -163,11 +163,11 @@
     for tick in 0..seconds * TICKS_PER_S {
         let second = tick / TICKS_PER_S;
         for _ in 0..guards * 4 / TICKS_PER_S {
-            all[rng.random_range(0..guards)].count(0.0);
+            all[rng.random_range(0..guards)].record_arrival(0.0);
             firsts[second] += 1.0;
             let elsewhere = &mut all[rng.random_range(0..guards)];
             if (10..18).contains(&second) && rng.random_bool(0.5) && elsewhere.allows(CALL, Instant::now()) {
-                elsewhere.count(1.0);
+                elsewhere.record_arrival(1.0);
                 repeats[second] += 1.0;
             }
         }
@@ -210,28 +210,28 @@
     let start = Instant::now();
     for tick in 0..800 {
         let now = start + TICK * tick;
-        let mut one = |repeat: Repeat| {
-            all[rng.random_range(0..GUARDS)].count(0.0);
+        let mut one = |repeat: Retry| {
+            all[rng.random_range(0..GUARDS)].record_arrival(0.0);
             if rng.random_bool(0.45) {
                 return true;
             }
             // Several guards are asked for a second place.
             let granted = (0..8).map(|_| rng.random_range(0..GUARDS)).find(|at| {
-                all[*at].want(repeat, now);
+                all[*at].record_demand(repeat, now);
                 all[*at].allows(repeat, now)
             });
             granted.is_some_and(|at| {
-                all[at].count(1.0);
+                all[at].record_arrival(1.0);
                 rng.random_bool(0.45)
             })
         };
         for at in 0..GUARDS * 6 / 100 {
             if at % 3 < 2 {
                 urgent.asked += 1.0;
-                urgent.served += f64::from(u8::from(one(Repeat { rank: 1, call: false })));
+                urgent.served += f64::from(u8::from(one(Retry { rank: 1, call: false })));
             } else {
                 less.asked += 0.5;
-                let both = [0; 2].map(|_| one(Repeat { rank, call: true })) == [true; 2];
+                let both = [0; 2].map(|_| one(Retry { rank, call: true })) == [true; 2];
                 less.served += 0.5 * f64::from(u8::from(both));
             }
         }
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -24,7 +24,7 @@
         accepts: Standing::Clean,
         arrived,
         useful_until: arrived + useful,
-        needs_allowance: false,
+        is_retry: false,
         repeat_share: 0.0,
         fingerprint: Fingerprint::default(),
         released: false,
