--- a/src/decide/patience.rs
+++ b/src/decide/latest_start.rs
@@ -17,24 +17,24 @@
 
 /// What is asked of a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct WorkTiming {
     /// When it came.
     pub arrived: Instant,
     /// Answers are worth most within this.
-    pub goal: Duration,
+    pub target_latency: Duration,
     /// Its answer must be given by then.
-    pub give_up: Instant,
+    pub deadline: Instant,
     /// Running work waits for it, so that it is of use until its time is over.
     pub call: bool,
 }
 
-/// When `terms` no longer let work be begun whose mean time is `mean`, if known.
-pub fn begin_by(terms: Terms, mean: Option<Duration>) -> Instant {
-    let Terms { arrived, goal, give_up, call } = terms;
-    let takes = mean.map_or(goal / UNKNOWN_WORK, |it| it.mul_f64(TIMES_MEAN));
-    let by_deadline = give_up.checked_sub(takes).unwrap_or(arrived);
+/// When `work` no longer let work be begun whose mean time is `mean`, if known.
+pub fn latest_start(work: WorkTiming, mean: Option<Duration>) -> Instant {
+    let WorkTiming { arrived, target_latency, deadline, call } = work;
+    let takes = mean.map_or(target_latency / UNKNOWN_WORK, |it| it.mul_f64(TIMES_MEAN));
+    let by_deadline = deadline.checked_sub(takes).unwrap_or(arrived);
     if call {
         return by_deadline;
     }
-    by_deadline.min(arrived + goal.saturating_sub(takes).max(goal / LEAST_WAIT))
+    by_deadline.min(arrived + target_latency.saturating_sub(takes).max(target_latency / LEAST_WAIT))
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -10,19 +10,19 @@
 
 pub mod fingerprint;
 pub mod guard_retry_budget;
+pub mod latest_start;
 pub mod life;
 pub mod origin;
-pub mod pace;
-pub mod patience;
 pub mod place;
 pub mod quarantine;
-pub mod shares;
+pub mod service_times;
 pub mod slot_time;
 pub mod stopping;
 pub mod subset;
 pub mod suspicion;
 pub mod wait_queue;
 pub mod watchers;
+pub mod weighted_round_robin;
 
 pub use admission::{AdmissionController, AdmissionDecision, AdmissionRequest, WaiterDecision, WaiterId};
 pub use capacity_floor::{EndpointCapacity, eligible_endpoints};
--- a/src/decide/pace.rs
+++ b/src/decide/service_times.rs
@@ -7,12 +7,12 @@
 
 /// The running mean of the durations of each class.
 #[derive(Debug, Clone, Default)]
-pub struct Pace {
+pub struct ServiceTimes {
     /// Sorted by class; in seconds.
     means: Vec<(Box<str>, f64)>,
 }
 
-impl Pace {
+impl ServiceTimes {
     /// Takes in how long work of `class` took.
     pub fn record(&mut self, class: &str, took: Duration) {
         let took = took.as_secs_f64();
--- a/src/decide/shares.rs
+++ b/src/decide/weighted_round_robin.rs
@@ -4,14 +4,14 @@
 
 /// Deals a route's requests to its services in proportion to their weights.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Shares {
+pub struct WeightedRoundRobin {
     /// Relative to each other; the sum is above zero unless all are zero.
     weights: Vec<f64>,
     /// What each service is owed, in requests; the sum stays what it was.
     owed: Vec<f64>,
 }
 
-impl Shares {
+impl WeightedRoundRobin {
     /// Begins at a random point of the round, so that proxies don't all begin with the same service.
     pub fn new(weights: Vec<f64>, rng: &mut impl Rng) -> Self {
         let owed = weights.iter().map(|_| rng.random_range(0.0..1.0)).collect();
@@ -24,7 +24,7 @@
     }
 
     /// The service of the next request, by place in the list; the first if all weights are zero.
-    pub fn deal(&mut self) -> usize {
+    pub fn pick(&mut self) -> usize {
         let sum: f64 = self.weights.iter().sum();
         if sum <= 0.0 {
             return 0;
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -22,8 +22,8 @@
         guard_retry_budget::{GuardRetryBudget, RetryBudgetConfig},
         life::EndpointId,
         origin::Origins,
-        pace::Pace,
         quarantine::Quarantine,
+        service_times::ServiceTimes,
         slot_time::{Occupancy, SlotTime, Use},
         suspicion::{Record, Standing},
         wait_queue::{WaitQueue, WaiterId},
@@ -138,7 +138,7 @@
     /// One for each waiter in the queue.
     senders: Vec<(WaiterId, PlaceSender)>,
     ledger: Ledger,
-    pace: Pace,
+    pace: ServiceTimes,
     allowance: GuardRetryBudget,
     /// Requests that end endpoints.
     quarantine: Quarantine,
@@ -216,7 +216,7 @@
                 queue: WaitQueue::default(),
                 senders: Vec::new(),
                 ledger: Ledger::new(incarnation),
-                pace: Pace::default(),
+                pace: ServiceTimes::default(),
                 allowance: GuardRetryBudget::new(retry_budget),
                 quarantine: Quarantine::default(),
                 quarantine_news: Vec::new(),
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -11,7 +11,7 @@
 use crate::{
     decide::{
         guard_retry_budget::Retry,
-        pace::Pace,
+        service_times::ServiceTimes,
         suspicion::Standing,
         wait_queue::{Waiter, WaiterId},
     },
@@ -181,7 +181,7 @@
 }
 
 /// Whether work of `route` that begins now is likely to end by `ends`, when this proxy stops.
-fn fits(ends: Option<Instant>, pace: &Pace, route: &str, now: Instant) -> bool {
+fn fits(ends: Option<Instant>, pace: &ServiceTimes, route: &str, now: Instant) -> bool {
     /// Few pieces of work take longer than this many times the usual.
     const TIMES_USUAL: u32 = 3;
     let Some(ends) = ends else { return true };
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -19,7 +19,9 @@
 use tokio::time::timeout;
 
 use crate::{
-    decide::{fingerprint::Fingerprint, origin::Origin, pace::Pace, shares::Shares},
+    decide::{
+        fingerprint::Fingerprint, origin::Origin, service_times::ServiceTimes, weighted_round_robin::WeightedRoundRobin,
+    },
     platform,
     proxy::{
         Proxy, client, clock,
@@ -49,12 +51,12 @@
 #[derive(Default)]
 pub(super) struct IngressState {
     /// Sorted by route.
-    shares: Vec<(RouteName, Shares)>,
+    shares: Vec<(RouteName, WeightedRoundRobin)>,
     /// Services whose guards told that their allowance is used up, and until when that counts;
     /// sorted by service.
     tight: Vec<(ServiceName, Instant)>,
     /// How long attempts take at endpoints.
-    pace: Pace,
+    pace: ServiceTimes,
 }
 
 impl IngressState {
@@ -294,15 +296,17 @@
         let at = match state.shares.binary_search_by(|it| it.0.cmp(&route.name)) {
             Ok(at) => at,
             Err(at) => {
-                state.shares.insert(at, (route.name.clone(), Shares::new(weights.clone(), &mut rand::rng())));
+                state
+                    .shares
+                    .insert(at, (route.name.clone(), WeightedRoundRobin::new(weights.clone(), &mut rand::rng())));
                 at
             }
         };
         let shares = &mut state.shares[at].1;
         if shares.weights() != weights {
-            *shares = Shares::new(weights, &mut rand::rng());
+            *shares = WeightedRoundRobin::new(weights, &mut rand::rng());
         }
-        route.clusters[shares.deal()].service.clone()
+        route.clusters[shares.pick()].service.clone()
     }
 
     /// The one answer to a request.
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -11,9 +11,9 @@
 use super::{Guarded, Job, NoPlace, Placed};
 use crate::{
     decide::{
+        latest_start::{WorkTiming, latest_start},
         life::EndpointId,
         origin::Origin,
-        patience::{Terms, begin_by},
         place::{Candidate, Order, order},
         suspicion::{self, Standing},
     },
@@ -101,8 +101,9 @@
     fn patience(&self, job: &Job) -> Instant {
         let route = job.route();
         let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.last_call()));
-        let terms = Terms { arrived: job.arrived, goal: route.goal, give_up, call: job.is_call() };
-        begin_by(terms, self.ingress.borrow().pace.mean(&route.name))
+        let timing =
+            WorkTiming { arrived: job.arrived, target_latency: route.goal, deadline: give_up, call: job.is_call() };
+        latest_start(timing, self.ingress.borrow().pace.mean(&route.name))
     }
 
     /// The endpoints that may do the work, as they are known now.
--- a/tests/patience.rs
+++ b/tests/latest_start.rs
@@ -6,8 +6,8 @@
 };
 
 use jayreach::decide::{
-    pace::Pace,
-    patience::{Terms, begin_by},
+    latest_start::{WorkTiming, latest_start},
+    service_times::ServiceTimes,
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use rstest::rstest;
@@ -18,8 +18,8 @@
     Duration::from_millis(count)
 }
 
-fn terms(arrived: Instant, call: bool) -> Terms {
-    Terms { arrived, goal: GOAL, give_up: arrived + ms(6_000), call }
+fn timing(arrived: Instant, call: bool) -> WorkTiming {
+    WorkTiming { arrived, target_latency: GOAL, deadline: arrived + ms(6_000), call }
 }
 
 #[rstest]
@@ -32,18 +32,18 @@
 fn work_begins_with_enough_of_its_time_left(#[case] mean: Option<u64>, #[case] call: bool, #[case] wanted: u64) {
     let now = Instant::now();
 
-    let by = begin_by(terms(now, call), mean.map(ms));
+    let by = latest_start(timing(now, call), mean.map(ms));
 
     assert_eq!((by - now).as_millis(), u128::from(wanted));
 }
 
 /// Answers in time, late answers and refusals of a service of five slots at 1.4 times its load, with work of 200 to
-/// 1,400 ms, where work may still begin `late_by` after `begin_by` says.
+/// 1,400 ms, where work may still begin `late_by` after `latest_start` says.
 fn replay(seed: u64, late_by: Duration) -> (u32, u32, u32) {
     const SLOTS: usize = 5;
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
-    let mut pace = Pace::default();
+    let mut pace = ServiceTimes::default();
     let mut free_at: BinaryHeap<std::cmp::Reverse<Instant>> = (0..SLOTS).map(|_| std::cmp::Reverse(start)).collect();
     let (mut in_time, mut late, mut refused) = (0, 0, 0);
     let mut arrived = start;
@@ -51,7 +51,7 @@
         arrived += ms(rng.random_range(0..228));
         let takes = ms(rng.random_range(200..1_400));
         let free = free_at.peek().expect("there are slots").0.max(arrived);
-        if free > begin_by(terms(arrived, false), pace.mean("pay")) + late_by {
+        if free > latest_start(timing(arrived, false), pace.mean("pay")) + late_by {
             refused += 1;
             continue;
         }
--- a/tests/proxy_decisions.rs
+++ b/tests/proxy_decisions.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use jayreach::decide::{
-    pace::Pace,
     place::{Candidate, order},
-    shares::Shares,
+    service_times::ServiceTimes,
     suspicion::{Record, Sample, Standing},
+    weighted_round_robin::WeightedRoundRobin,
 };
 use rand::{Rng, RngExt as _, SeedableRng as _, rngs::SmallRng};
 use rstest::rstest;
@@ -251,11 +251,11 @@
 #[case(&[1.0, 1.0, 2.0], 40, &[10, 10, 20])]
 #[case(&[0.0, 5.0], 7, &[0, 7])]
 fn shares_are_kept_over_any_run(#[case] weights: &[f64], #[case] requests: usize, #[case] wanted: &[usize]) {
-    let mut shares = Shares::new(weights.to_vec(), &mut rng());
+    let mut shares = WeightedRoundRobin::new(weights.to_vec(), &mut rng());
     let mut dealt = vec![0usize; weights.len()];
 
     for _ in 0..requests {
-        dealt[shares.deal()] += 1;
+        dealt[shares.pick()] += 1;
     }
 
     for (dealt, wanted) in dealt.iter().zip(wanted) {
@@ -265,7 +265,7 @@
 
 #[test]
 fn the_pace_of_a_class_follows_its_durations() {
-    let mut pace = Pace::default();
+    let mut pace = ServiceTimes::default();
 
     for _ in 0..100 {
         pace.record("a", 100 * MS);
