--- a/src/decide/guard_retry_budget.rs
+++ b/src/decide/guard_retry_budget.rs
@@ -44,7 +44,7 @@
     /// The rank of its class, or of the work that made it; 0 goes first.
     pub rank: u32,
     /// Whether running work waits for it.
-    pub call: bool,
+    pub is_nested_call: bool,
 }
 
 /// The allowance at one guard.
@@ -107,7 +107,7 @@
         let recent = |it: &(u32, Instant)| now.saturating_duration_since(it.1) < WANTED_FOR;
         let yields = self.wanted.iter().take_while(|it| it.0 < repeat.rank).any(recent);
         // A caller's repeat leaves a part to calls, and any repeat one to more urgent work.
-        let parts = u32::from(yields) + u32::from(!repeat.call);
+        let parts = u32::from(yields) + u32::from(!repeat.is_nested_call);
         self.tokens >= 1.0 + self.size() * KEPT_PART * f64::from(parts)
     }
 
--- a/src/decide/latest_start.rs
+++ b/src/decide/latest_start.rs
@@ -25,15 +25,15 @@
     /// Its answer must be given by then.
     pub deadline: Instant,
     /// Running work waits for it, so that it is of use until its time is over.
-    pub call: bool,
+    pub is_nested_call: bool,
 }
 
 /// When `work` no longer let work be begun whose mean time is `mean`, if known.
 pub fn latest_start(work: WorkTiming, mean: Option<Duration>) -> Instant {
-    let WorkTiming { arrived, target_latency, deadline, call } = work;
+    let WorkTiming { arrived, target_latency, deadline, is_nested_call } = work;
     let takes = mean.map_or(target_latency / UNKNOWN_WORK, |it| it.mul_f64(TIMES_MEAN));
     let by_deadline = deadline.checked_sub(takes).unwrap_or(arrived);
-    if call {
+    if is_nested_call {
         return by_deadline;
     }
     by_deadline.min(arrived + target_latency.saturating_sub(takes).max(target_latency / LEAST_WAIT))
--- a/src/decide/wait_queue.rs
+++ b/src/decide/wait_queue.rs
@@ -24,19 +24,19 @@
     /// Which.
     pub id: WaiterId,
     /// Whether running work waits for it.
-    pub call: bool,
+    pub is_nested_call: bool,
     /// The rank of its class, or of the work that made it; 0 goes first.
     pub rank: u32,
     /// Whether it may run again.
     pub idempotent: bool,
     /// Whether a suspect endpoint may be tried with it.
-    pub trial: bool,
+    pub may_be_trial: bool,
     /// Up to this standing an endpoint is good enough for it.
     pub accepts: Standing,
     /// When it came.
     pub arrived: Instant,
     /// After this it can't be in time.
-    pub useful_until: Instant,
+    pub latest_start: Instant,
     /// Whether it needs an allowance for repeats.
     pub is_retry: bool,
     /// How much of it counts as a repeat, 0 to 1.
@@ -46,13 +46,13 @@
     /// What the request asks for.
     pub fingerprint: Fingerprint,
     /// It is the trial of a request that is held back.
-    pub released: bool,
+    pub is_quarantine_trial: bool,
 }
 
 impl Waiter {
     /// It, as the allowance for repeats sees it.
     pub fn retry(&self) -> Retry {
-        Retry { rank: self.rank, call: self.call }
+        Retry { rank: self.rank, is_nested_call: self.is_nested_call }
     }
 }
 
@@ -94,8 +94,9 @@
             fitting.min_by_key(|(_, it)| order(it, now)).map(|(at, _)| at)
         };
         let best = first(&|_| true)?;
-        let Waiter { call, rank, .. } = self.waiters[best];
-        let passed_over = first(&|it| !call && !it.call && it.rank > rank && it.useful_until >= now);
+        let Waiter { is_nested_call, rank, .. } = self.waiters[best];
+        let passed_over =
+            first(&|it| !is_nested_call && !it.is_nested_call && it.rank > rank && it.latest_start >= now);
         let at = match passed_over {
             Some(it) if self.passed_over >= URGENT_IN_A_ROW => it,
             Some(_) | None => best,
@@ -107,7 +108,7 @@
     }
 
     /// Takes out one that `fits`, if there is any.
-    pub fn take(&mut self, fits: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
+    pub fn remove_first(&mut self, fits: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
         let at = self.waiters.iter().position(fits)?;
         Some(self.waiters.remove(at))
     }
@@ -115,5 +116,5 @@
 
 /// The lower goes first.
 fn order(waiter: &Waiter, now: Instant) -> (bool, u32, bool, Instant) {
-    (!waiter.call, waiter.rank, waiter.useful_until < now, waiter.arrived)
+    (!waiter.is_nested_call, waiter.rank, waiter.latest_start < now, waiter.arrived)
 }
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -91,7 +91,7 @@
         let call = req.call && self.origins.says(&req.route) != Some(true);
         self.allowance.set_guard_count(known.guards);
         if req.arrival == Arrival::Repeat {
-            let retry = Retry { rank: req.rank, call };
+            let retry = Retry { rank: req.rank, is_nested_call: call };
             self.allowance.record_demand(retry, now);
             if known.calls_tight || !self.allowance.allows(retry, now) {
                 return Err(Refusal::NoAllowance);
@@ -101,18 +101,18 @@
         let id = self.last_waiter;
         self.queue.push(Waiter {
             id,
-            call,
+            is_nested_call: call,
             rank: req.rank,
             idempotent: req.idempotent,
-            trial: req.trial,
+            may_be_trial: req.trial,
             accepts: req.accepts,
             arrived: now,
-            useful_until: now + req.useful_for,
+            latest_start: now + req.useful_for,
             is_retry: req.arrival == Arrival::Repeat,
             repeat_share: req.arrival.repeat_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
-            released: req.released,
+            is_quarantine_trial: req.released,
         });
         self.senders.push((id, tx));
         Ok(id)
@@ -128,8 +128,8 @@
             let suspect_here = ledger.purposes().any(|it| quarantine.case(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
                 let case = quarantine.case(it.fingerprint);
-                endpoint.record.admits(it.accepts, it.trial, trials, now)
-                    && (it.released || !case.is_held())
+                endpoint.record.admits(it.accepts, it.may_be_trial, trials, now)
+                    && (it.is_quarantine_trial || !case.is_held())
                     && !(case.is_suspect() && suspect_here)
                     && (!it.is_retry || allowance.allows(it.retry(), now))
                     && fits(*ends, pace, &it.route, now)
@@ -140,7 +140,7 @@
             let purpose = Purpose {
                 route: waiter.route,
                 fingerprint: waiter.fingerprint,
-                released: waiter.released,
+                released: waiter.is_quarantine_trial,
                 idempotent: waiter.idempotent,
                 repeat_share: waiter.repeat_share,
                 trial: endpoint.record.standing() != Standing::Clean,
@@ -163,14 +163,14 @@
         let Self { endpoint, queue, senders, allowance, quarantine, pace, ends, .. } = self;
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
-            _ if quarantine.case(it.fingerprint).is_held() && !it.released => Some(Refusal::Quarantined),
+            _ if quarantine.case(it.fingerprint).is_held() && !it.is_quarantine_trial => Some(Refusal::Quarantined),
             None => Some(Refusal::Elsewhere),
             Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
-            Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(Refusal::Suspect),
+            Some(endpoint) if !endpoint.record.admits(it.accepts, it.may_be_trial, 0, now) => Some(Refusal::Suspect),
             Some(_) if it.is_retry && !allowance.allows(it.retry(), now) => Some(Refusal::NoAllowance),
             Some(_) => None,
         };
-        while let Some(waiter) = queue.take(|it| refusal(it).is_some()) {
+        while let Some(waiter) = queue.remove_first(|it| refusal(it).is_some()) {
             let why = refusal(&waiter).expect("it was taken out for that");
             if let Some(at) = senders.iter().position(|it| it.0 == waiter.id) {
                 // An ingress that is gone needs no answer.
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -101,8 +101,12 @@
     fn patience(&self, job: &Job) -> Instant {
         let route = job.route();
         let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.last_call()));
-        let timing =
-            WorkTiming { arrived: job.arrived, target_latency: route.goal, deadline: give_up, call: job.is_call() };
+        let timing = WorkTiming {
+            arrived: job.arrived,
+            target_latency: route.goal,
+            deadline: give_up,
+            is_nested_call: job.is_call(),
+        };
         latest_start(timing, self.ingress.borrow().pace.mean(&route.name))
     }
 
--- a/tests/guard_retry_budget.rs
+++ b/tests/guard_retry_budget.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use rand::{SeedableRng as _, rngs::SmallRng};
 
-const CALL: Retry = Retry { rank: 0, call: true };
-const REQUEST: Retry = Retry { rank: 0, call: false };
+const CALL: Retry = Retry { rank: 0, is_nested_call: true };
+const REQUEST: Retry = Retry { rank: 0, is_nested_call: false };
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
@@ -228,10 +228,10 @@
         for at in 0..GUARDS * 6 / 100 {
             if at % 3 < 2 {
                 urgent.asked += 1.0;
-                urgent.served += f64::from(u8::from(one(Retry { rank: 1, call: false })));
+                urgent.served += f64::from(u8::from(one(Retry { rank: 1, is_nested_call: false })));
             } else {
                 less.asked += 0.5;
-                let both = [0; 2].map(|_| one(Retry { rank, call: true })) == [true; 2];
+                let both = [0; 2].map(|_| one(Retry { rank, is_nested_call: true })) == [true; 2];
                 less.served += 0.5 * f64::from(u8::from(both));
             }
         }
--- a/tests/latest_start.rs
+++ b/tests/latest_start.rs
@@ -19,7 +19,7 @@
 }
 
 fn timing(arrived: Instant, call: bool) -> WorkTiming {
-    WorkTiming { arrived, target_latency: GOAL, deadline: arrived + ms(6_000), call }
+    WorkTiming { arrived, target_latency: GOAL, deadline: arrived + ms(6_000), is_nested_call: call }
 }
 
 #[rstest]
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -17,17 +17,17 @@
 fn waiter(id: u64, call: bool, rank: u32, arrived: Instant, useful: Duration) -> Waiter {
     Waiter {
         id,
-        call,
+        is_nested_call: call,
         rank,
         idempotent: true,
-        trial: true,
+        may_be_trial: true,
         accepts: Standing::Clean,
         arrived,
-        useful_until: arrived + useful,
+        latest_start: arrived + useful,
         is_retry: false,
         repeat_share: 0.0,
         fingerprint: Fingerprint::default(),
-        released: false,
+        is_quarantine_trial: false,
         route: "r".into(),
     }
 }
@@ -64,7 +64,7 @@
         while busy.len() < 4 {
             let Some(next) = queue.next(now, |_| true) else { break };
             busy.push(now + WORK);
-            in_time[class(next.id as u32)] += u32::from(next.useful_until >= now);
+            in_time[class(next.id as u32)] += u32::from(next.latest_start >= now);
         }
     }
     in_time
