--- a/src/decide/fingerprint.rs
+++ b/src/decide/fingerprint.rs
@@ -17,12 +17,12 @@
 
 impl Fingerprint {
     /// It, as a number.
-    pub fn number(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         self.0
     }
 
     /// The fingerprint of a request.
-    pub fn of(method: &str, host: &str, target: &str, credentials: &[u8], body: &[u8]) -> Self {
+    pub fn of_request(method: &str, host: &str, target: &str, credentials: &[u8], body: &[u8]) -> Self {
         Self(stable_hash(&[method.as_bytes(), host.as_bytes(), target.as_bytes(), credentials, body]))
     }
 }
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -232,7 +232,7 @@
     pub fn digest(&self) -> u64 {
         let hash = |it: &Entry| {
             let Case { cleared, evidence, trials } = it.case;
-            mix(&[it.fingerprint.number(), cleared.into(), evidence.into(), trials.into()])
+            mix(&[it.fingerprint.as_u64(), cleared.into(), evidence.into(), trials.into()])
         };
         self.entries.iter().map(hash).fold(0, u64::wrapping_add)
     }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -202,7 +202,7 @@
         origin,
         service,
         request: id.clone(),
-        fingerprint: Fingerprint::of(head.method.as_str(), host, target, credentials, &body),
+        fingerprint: Fingerprint::of_request(head.method.as_str(), host, target, credentials, &body),
         released: Cell::new(false),
         method: head.method.as_str().into(),
         target: target.into(),
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -21,7 +21,7 @@
 
 /// A read that is held back, whether it should be or not.
 fn held(target: &str) -> QuarantineObject {
-    let fingerprint = Fingerprint::of("GET", HOST, target, b"", b"");
+    let fingerprint = Fingerprint::of_request("GET", HOST, target, b"", b"");
     let mut quarantine = Quarantine::default();
     for _ in 0..2 {
         quarantine.end_under(&[(fingerprint, quarantine.case(fingerprint))], Instant::now());
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 
 fn fingerprint(number: u32) -> Fingerprint {
-    Fingerprint::of("GET", "desk.example", &format!("/read/{number}"), b"", b"")
+    Fingerprint::of_request("GET", "desk.example", &format!("/read/{number}"), b"", b"")
 }
 
 /// An endpoint ended under these requests, all of which had begun when no more was known than now.
