--- a/src/decide/life.rs
+++ b/src/decide/incarnation.rs
@@ -21,74 +21,84 @@
     /// What the endpoint calls itself; it may have had a life under this name before.
     pub name: Box<str>,
     /// When this life began; `None` if it has not said so.
-    pub born: Option<UnixMillis>,
+    #[serde(rename = "born")]
+    pub started_at: Option<UnixMillis>,
 }
 
 impl EndpointId {
     /// With a start that is believed only if it is not far in the future.
-    pub fn new(name: &str, born: Option<UnixMillis>, now: UnixMillis) -> Self {
+    pub fn new(name: &str, started_at: Option<UnixMillis>, now: UnixMillis) -> Self {
         let ahead = UnixMillis::try_from(AHEAD.as_millis()).unwrap_or(UnixMillis::MAX);
-        Self { name: name.into(), born: born.filter(|it| *it <= now.saturating_add(ahead)) }
+        Self { name: name.into(), started_at: started_at.filter(|it| *it <= now.saturating_add(ahead)) }
     }
 }
 
 /// The life that is known.
 #[derive(Debug, Clone, Copy)]
-pub struct KnownLife<'a> {
+pub struct KnownIncarnation<'a> {
     /// Which.
     pub id: &'a EndpointId,
     /// Of its last announcement.
     pub sequence: u64,
     /// Whether it takes work.
-    pub serves: bool,
+    pub accepts_work: bool,
     /// How long ago it was heard, in the rhythm of its announcements.
-    pub silent_beats: f64,
+    pub missed_heartbeats: f64,
 }
 
 /// What an announcement means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AnnouncementClass {
     /// It says nothing new, or is a former life's.
-    Late,
+    Stale,
     /// It is the known life's, and newer than what it said before.
-    Same,
+    Update,
     /// It is a later life's; the known one is over.
-    Later,
+    NewIncarnation,
     /// It names another endpoint while the known one seems to be alive: ask at the address.
-    Doubtful,
+    Unconfirmed,
 }
 
 /// An endpoint that was not heard for this long may have ended without a word.
 const QUIET_BEATS: f64 = 2.0;
 /// An endpoint that was not heard for this long has ended: announcements come late, but not by as much.
-pub const SILENT_BEATS: f64 = 4.0;
+pub const DEAD_AFTER_HEARTBEATS: f64 = 4.0;
 
 /// Judges an announcement of `told` with its `sequence`.
-pub fn judge(known: Option<KnownLife<'_>>, retired: &[EndpointId], told: &EndpointId, sequence: u64) -> Verdict {
+pub fn classify_announcement(
+    known: Option<KnownIncarnation<'_>>,
+    retired: &[EndpointId],
+    told: &EndpointId,
+    sequence: u64,
+) -> AnnouncementClass {
     let Some(known) = known else {
-        return if is_retired(retired, told) { Verdict::Late } else { Verdict::Later };
+        return if is_retired(retired, told) { AnnouncementClass::Stale } else { AnnouncementClass::NewIncarnation };
     };
-    let earlier = told.born.zip(known.id.born).is_some_and(|(told, known)| told < known);
-    let later = told.born.zip(known.id.born).is_some_and(|(told, known)| told > known);
-    if earlier && known.silent_beats >= SILENT_BEATS {
+    let earlier = told.started_at.zip(known.id.started_at).is_some_and(|(told, known)| told < known);
+    let later = told.started_at.zip(known.id.started_at).is_some_and(|(told, known)| told > known);
+    if earlier && known.missed_heartbeats >= DEAD_AFTER_HEARTBEATS {
         // The clock was set back between the two starts.
-        return Verdict::Later;
+        return AnnouncementClass::NewIncarnation;
     }
     // The known life itself may have followed one whose start seems later.
     if earlier || (told != known.id && is_retired(retired, told)) {
-        return Verdict::Late;
+        return AnnouncementClass::Stale;
     }
     if told.name == known.id.name {
         return match (later, sequence > known.sequence) {
-            (true, _) => Verdict::Later,
-            (false, true) => Verdict::Same,
-            (false, false) => Verdict::Late,
+            (true, _) => AnnouncementClass::NewIncarnation,
+            (false, true) => AnnouncementClass::Update,
+            (false, false) => AnnouncementClass::Stale,
         };
     }
-    if known.serves && known.silent_beats < QUIET_BEATS { Verdict::Doubtful } else { Verdict::Later }
+    if known.accepts_work && known.missed_heartbeats < QUIET_BEATS {
+        AnnouncementClass::Unconfirmed
+    } else {
+        AnnouncementClass::NewIncarnation
+    }
 }
 
 /// Whether a life is over, or is earlier than one under its name that is.
 pub fn is_retired(retired: &[EndpointId], id: &EndpointId) -> bool {
-    retired.iter().any(|it| it.name == id.name && id.born <= it.born)
+    retired.iter().any(|it| it.name == id.name && id.started_at <= it.started_at)
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -10,7 +10,7 @@
 
 pub mod allowance;
 pub mod fingerprint;
-pub mod life;
+pub mod incarnation;
 pub mod origin;
 pub mod pace;
 pub mod patience;
--- a/src/platform/announce.rs
+++ b/src/platform/announce.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::{
-    decide::life::{EndpointId, UnixMillis},
+    decide::incarnation::{EndpointId, UnixMillis},
     proxy::guard::{Announced, EndpointPhase},
 };
 
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -10,7 +10,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-use crate::decide::life::UnixMillis;
+use crate::decide::incarnation::UnixMillis;
 
 /// How far the boot clock was ahead of the steady one when the process first asked.
 static AHEAD_AT_START: OnceLock<Duration> = OnceLock::new();
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -9,7 +9,7 @@
 use tokio::{task::spawn_local, time::sleep};
 
 use crate::{
-    decide::life::EndpointId,
+    decide::incarnation::EndpointId,
     error::Error,
     platform::{self, AnnounceCall},
     proxy::{
@@ -163,7 +163,7 @@
         let health = platform::health(settings.endpoint, path, HEALTH_TIMEOUT).await;
         let Some((id, slots)) = health else { return };
         self.guard.found(Announced {
-            id: EndpointId { name: id, born: None },
+            id: EndpointId { name: id, started_at: None },
             service: settings.service.clone(),
             address: settings.endpoint,
             slots,
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    decide::{life::EndpointId, suspicion::Standing},
+    decide::{incarnation::EndpointId, suspicion::Standing},
     platform::PresenceObject,
     proxy::routes::{ServiceName, Version},
     rows::{self, Compare, Compared, DaemonKey, Merge, OwnClaims, Stamp, Table},
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 
 use crate::{
-    decide::{fingerprint::Fingerprint, life::UnixMillis, suspicion::Standing},
+    decide::{fingerprint::Fingerprint, incarnation::UnixMillis, suspicion::Standing},
     proxy::{
         directory::ProxyName,
         message::{NotRun, Refusal, Unknown},
--- a/src/proxy/guard/announced.rs
+++ b/src/proxy/guard/announced.rs
@@ -5,7 +5,7 @@
 use super::{Announced, Endpoint, EndpointPhase, Guard, Heard, State};
 use crate::{
     decide::{
-        life::{self, EndpointId, KnownLife, SILENT_BEATS, Verdict, is_retired},
+        incarnation::{self, AnnouncementClass, DEAD_AFTER_HEARTBEATS, EndpointId, KnownIncarnation, is_retired},
         suspicion::Record,
     },
     proxy::{
@@ -24,13 +24,13 @@
     pub fn announced(self: &Rc<Self>, it: Announced) -> Heard {
         let verdict = self.judge(&it);
         match verdict {
-            Verdict::Late => Heard::Known,
-            Verdict::Same => self.heard_again(&it),
-            Verdict::Later => {
+            AnnouncementClass::Stale => Heard::Known,
+            AnnouncementClass::Update => self.heard_again(&it),
+            AnnouncementClass::NewIncarnation => {
                 self.replace(it, "announced");
                 Heard::Changed
             }
-            Verdict::Doubtful => {
+            AnnouncementClass::Unconfirmed => {
                 if it.phase == EndpointPhase::Leaving {
                     retire(&mut self.state.borrow_mut(), it.id);
                 }
@@ -39,15 +39,15 @@
         }
     }
 
-    fn judge(&self, it: &Announced) -> Verdict {
+    fn judge(&self, it: &Announced) -> AnnouncementClass {
         let state = self.state.borrow();
-        let known = state.endpoint.as_ref().map(|known| KnownLife {
+        let known = state.endpoint.as_ref().map(|known| KnownIncarnation {
             id: &known.announced.id,
             sequence: known.announced.sequence,
-            serves: known.announced.phase == EndpointPhase::Serving,
-            silent_beats: self.silent_beats(known),
+            accepts_work: known.announced.phase == EndpointPhase::Serving,
+            missed_heartbeats: self.silent_beats(known),
         });
-        life::judge(known, &state.retired, &it.id, it.sequence)
+        incarnation::classify_announcement(known, &state.retired, &it.id, it.sequence)
     }
 
     fn silent_beats(&self, endpoint: &Endpoint) -> f64 {
@@ -62,7 +62,7 @@
         known.heard = clock::now();
         known.announced.sequence = it.sequence;
         known.announced.slots = it.slots;
-        let says_its_start = known.announced.id.born.is_none() && it.id.born.is_some();
+        let says_its_start = known.announced.id.started_at.is_none() && it.id.started_at.is_some();
         if says_its_start {
             known.announced.id = it.id.clone();
         }
@@ -99,7 +99,7 @@
         let now = clock::now();
         self.events.emit(&Event::Endpoint {
             id: &it.id.name,
-            born: it.id.born,
+            born: it.id.started_at,
             service: &it.service,
             phase: it.phase.name(),
             sequence: it.sequence,
@@ -125,7 +125,7 @@
         let known = self.state.borrow().endpoint.as_ref().map(|it| it.announced.id.clone());
         match known {
             // What a later life says ends an earlier one as well.
-            Some(it) if it.name == told.name && (told.born.is_none() || told.born >= it.born) => {
+            Some(it) if it.name == told.name && (told.started_at.is_none() || told.started_at >= it.started_at) => {
                 self.leave(&it, "deregistered");
                 retire(&mut self.state.borrow_mut(), told);
             }
@@ -141,7 +141,7 @@
                 known.announced.phase = EndpointPhase::Leaving;
                 self.events.emit(&Event::Endpoint {
                     id: &id.name,
-                    born: id.born,
+                    born: id.started_at,
                     service: &known.announced.service,
                     phase: EndpointPhase::Leaving.name(),
                     sequence: known.announced.sequence,
@@ -164,7 +164,7 @@
     pub(super) fn forget_if_silent(self: &Rc<Self>, id: &EndpointId) {
         let state = self.state.borrow();
         let Some(endpoint) = state.endpoint.as_ref().filter(|it| it.announced.id == *id) else { return };
-        let silent = self.silent_beats(endpoint) >= SILENT_BEATS;
+        let silent = self.silent_beats(endpoint) >= DEAD_AFTER_HEARTBEATS;
         drop(state);
         if silent {
             self.leave(id, "silent and unreachable");
@@ -198,6 +198,6 @@
     if state.retired.len() >= RETIRED_KEPT {
         state.retired.remove(0);
     }
-    let born = id.born.unwrap_or_else(clock::unix_millis);
-    state.retired.push(EndpointId { born: Some(born), ..id });
+    let born = id.started_at.unwrap_or_else(clock::unix_millis);
+    state.retired.push(EndpointId { started_at: Some(born), ..id });
 }
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    decide::{fingerprint::Fingerprint, life::EndpointId, quarantine::Case},
+    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::Case},
     proxy::{
         directory::Incarnation,
         message::{Grant, GrantId, NotRun, RunEnd},
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -20,7 +20,7 @@
     decide::{
         allowance::{Allowance, Terms},
         fingerprint::Fingerprint,
-        life::EndpointId,
+        incarnation::EndpointId,
         origin::Origins,
         pace::Pace,
         quarantine::Quarantine,
--- a/src/proxy/guard/quarantined.rs
+++ b/src/proxy/guard/quarantined.rs
@@ -6,7 +6,7 @@
 use crate::{
     decide::{
         fingerprint::Fingerprint,
-        life::EndpointId,
+        incarnation::EndpointId,
         quarantine::{Case, ToldCase},
     },
     proxy::{clock, events::Event, message::Grant},
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     decide::{
-        life::EndpointId,
+        incarnation::EndpointId,
         slot_time::Use,
         suspicion::{self, Sample},
     },
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -9,7 +9,7 @@
 
 use super::{Guarded, Job, NoPlace, Placed, Verdict};
 use crate::{
-    decide::life::EndpointId,
+    decide::incarnation::EndpointId,
     proxy::{
         Proxy, clock,
         events::{Event, Failure},
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -11,7 +11,7 @@
 use super::{Guarded, Job, NoPlace, Placed};
 use crate::{
     decide::{
-        life::EndpointId,
+        incarnation::EndpointId,
         origin::Origin,
         patience::{Terms, begin_by},
         place::{Candidate, Order, order},
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -12,7 +12,7 @@
 use crate::{
     decide::{
         fingerprint::Fingerprint,
-        life::EndpointId,
+        incarnation::EndpointId,
         quarantine::{Case, ToldCase},
         suspicion::Standing,
     },
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -6,7 +6,7 @@
 };
 
 use jayreach::{
-    decide::life::EndpointId,
+    decide::incarnation::EndpointId,
     platform::PresenceObject,
     proxy::directory::{Directory, EndpointRow, Row, Served},
     rows::{Merge, Stamp},
@@ -34,7 +34,7 @@
 }
 
 fn endpoint(name: &str) -> Option<EndpointRow> {
-    Some(EndpointRow { id: EndpointId { name: name.into(), born: None }, slots: 4 })
+    Some(EndpointRow { id: EndpointId { name: name.into(), started_at: None }, slots: 4 })
 }
 
 /// One exchange as two proxies have it.
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use jayreach::{
-    decide::{fingerprint::Fingerprint, life::EndpointId, quarantine::Case},
+    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::Case},
     proxy::{
         guard::ledger::{Known, Ledger, Purpose, Running},
         message::{Grant, NotRun, RunEnd, Unknown},
@@ -33,7 +33,7 @@
 }
 
 fn endpoint() -> EndpointId {
-    EndpointId { name: "i".into(), born: Some(1) }
+    EndpointId { name: "i".into(), started_at: Some(1) }
 }
 
 fn purpose() -> Purpose {
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -142,7 +142,7 @@
 
     let it = announced("i-1", body, NOW).expect("it is a heartbeat");
 
-    assert_eq!((&*it.id.name, it.id.born), ("i-1", Some(1_764_700_000_000)));
+    assert_eq!((&*it.id.name, it.id.started_at), ("i-1", Some(1_764_700_000_000)));
     assert_eq!((&*it.service, it.slots, it.sequence), ("s", 4, 9));
     assert_eq!((it.phase, it.cold_for), (EndpointPhase::Leaving, Duration::from_millis(1_500)));
 }
@@ -162,9 +162,9 @@
 
     let it = announced("i-1", body.as_bytes(), NOW).expect("it is a heartbeat");
 
-    assert_eq!(it.id.born, None);
+    assert_eq!(it.id.started_at, None);
     let gone = deregistered("i-1", format!("{{\"other\":1{born}}}").as_bytes(), NOW);
-    assert_eq!(gone.born, None);
+    assert_eq!(gone.started_at, None);
 }
 
 #[rstest]
