--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -16,7 +16,7 @@
 
 /// Work that may be running at the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Work<'a> {
+pub struct RunningWork<'a> {
     /// Names it at its guard.
     pub id: u64,
     /// Its class.
@@ -29,7 +29,7 @@
 
 /// Where a request began.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Origin {
+pub enum RequestOrigin {
     /// With a caller.
     Caller {
         /// No work that runs at the VM's endpoint can have made it; else its route alone says so.
@@ -60,7 +60,7 @@
 const CERTAIN_PART: f64 = 0.03;
 
 impl Evidence {
-    fn count(&mut self, certain: bool) {
+    fn record(&mut self, certain: bool) {
         if self.all >= MEMORY {
             self.certain /= 2.0;
             self.all /= 2.0;
@@ -70,14 +70,14 @@
     }
 
     /// Whether callers use the route, if that can be said.
-    fn says(&self) -> Option<bool> {
+    fn used_by_callers(&self) -> Option<bool> {
         (self.all >= ENOUGH).then_some(self.certain >= self.all * CERTAIN_PART)
     }
 }
 
 /// What is known of the use of routes.
 #[derive(Debug, Clone, Default)]
-pub struct Origins {
+pub struct OriginTracker {
     /// Routes whose requests ask for places here; sorted.
     seen: Vec<(Box<str>, Evidence)>,
     /// Whether callers use a route, as last told by a guard of its service, or as a request of this VM proved;
@@ -85,27 +85,27 @@
     told: Vec<(Box<str>, bool)>,
 }
 
-impl Origins {
+impl OriginTracker {
     /// Judges a request of this VM, of `route`, that expires at `until`, with all work that may be running here.
-    pub fn judge(&mut self, route: &str, until: Instant, works: &[Work<'_>]) -> Origin {
-        let may_have_made_it = |it: &&Work<'_>| it.until + LATE >= until;
-        let parents: Vec<&Work<'_>> = works.iter().filter(may_have_made_it).collect();
+    pub fn classify(&mut self, route: &str, until: Instant, works: &[RunningWork<'_>]) -> RequestOrigin {
+        let may_have_made_it = |it: &&RunningWork<'_>| it.until + LATE >= until;
+        let parents: Vec<&RunningWork<'_>> = works.iter().filter(may_have_made_it).collect();
         if parents.is_empty() {
-            self.tell(route, true);
-            return Origin::Caller { certain: true };
+            self.set_used_by_callers(route, true);
+            return RequestOrigin::Caller { certain: true };
         }
         if self.was_told(route) {
-            return Origin::Caller { certain: false };
+            return RequestOrigin::Caller { certain: false };
         }
         let repeats: f64 = parents.iter().map(|it| it.repeat_share).sum();
-        Origin::Call {
+        RequestOrigin::Call {
             repeat_share: repeats / parents.len() as f64,
             parents: parents.into_iter().map(|it| it.id).collect(),
         }
     }
 
     /// Counts a request that asks for a place here.
-    pub fn count(&mut self, route: &str, certain: bool) {
+    pub fn record(&mut self, route: &str, certain: bool) {
         let at = match self.seen.binary_search_by(|it| (*it.0).cmp(route)) {
             Ok(at) => at,
             Err(at) => {
@@ -113,17 +113,17 @@
                 at
             }
         };
-        self.seen[at].1.count(certain);
+        self.seen[at].1.record(certain);
     }
 
     /// Whether callers use `route`, if enough of its requests asked for places here.
-    pub fn says(&self, route: &str) -> Option<bool> {
+    pub fn used_by_callers(&self, route: &str) -> Option<bool> {
         let at = self.seen.binary_search_by(|it| (*it.0).cmp(route)).ok()?;
-        self.seen[at].1.says()
+        self.seen[at].1.used_by_callers()
     }
 
     /// Takes in whether callers use `route`, as a guard of its service says.
-    pub fn tell(&mut self, route: &str, is_callers: bool) {
+    pub fn set_used_by_callers(&mut self, route: &str, is_callers: bool) {
         match self.told.binary_search_by(|it| (*it.0).cmp(route)) {
             Ok(at) => self.told[at].1 = is_callers,
             Err(at) => self.told.insert(at, (route.into(), is_callers)),
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -7,7 +7,7 @@
     ledger::{Given, Running},
 };
 use crate::{
-    decide::origin::{Origin, Work},
+    decide::origin::{RequestOrigin, RunningWork},
     proxy::{
         clock,
         message::GrantId,
@@ -20,21 +20,21 @@
 
 impl Guard {
     /// Where a request of this VM of the class `route`, for `service`, began that expires at `until`.
-    pub fn origin(&self, route: &str, service: &str, until: Instant) -> Origin {
+    pub fn origin(&self, route: &str, service: &str, until: Instant) -> RequestOrigin {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let State { ledger, lingering, origins, calls, .. } = &mut *state;
         let running = ledger.running();
         let gone_on = lingering.iter().filter_map(Given::as_running).filter(|it| now < it.2.until);
-        let work = |(id, route, it): (GrantId, _, &Running)| Work {
+        let work = |(id, route, it): (GrantId, _, &Running)| RunningWork {
             id,
             route,
             until: it.until,
             repeat_share: it.repeat_share,
         };
-        let works: Vec<Work<'_>> = running.chain(gone_on).map(work).collect();
-        let origin = origins.judge(route, until, &works);
-        if let Origin::Call { parents, .. } = &origin {
+        let works: Vec<RunningWork<'_>> = running.chain(gone_on).map(work).collect();
+        let origin = origins.classify(route, until, &works);
+        if let RequestOrigin::Call { parents, .. } = &origin {
             let mut routes = works.iter().filter(|it| parents.contains(&it.id)).map(|it| it.route);
             // Only where it is certain which class called.
             if let Some(caller) = routes.next().filter(|it| routes.all(|other| other == *it)) {
@@ -55,12 +55,12 @@
 
     /// Whether callers use `route`, as far as its requests for places here say.
     pub fn is_callers_route(&self, route: &str) -> Option<bool> {
-        self.state.borrow().origins.says(route)
+        self.state.borrow().origins.used_by_callers(route)
     }
 
     /// Takes in whether callers use `route`, as a guard of its service says.
     pub fn tell_callers_route(&self, route: &str, is_callers: bool) {
-        self.state.borrow_mut().origins.tell(route, is_callers);
+        self.state.borrow_mut().origins.set_used_by_callers(route, is_callers);
     }
 
     /// Forgets routes that `keep` does not name.
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -21,7 +21,7 @@
         allowance::{Allowance, Terms},
         fingerprint::Fingerprint,
         incarnation::EndpointId,
-        origin::Origins,
+        origin::OriginTracker,
         pace::Pace,
         quarantine::Quarantine,
         slot_time::{Occupancy, SlotTime, Use},
@@ -150,7 +150,7 @@
     /// `calls::LINGERING_KEPT`.
     lingering: Vec<Given>,
     /// Tells calls from callers' requests.
-    origins: Origins,
+    origins: OriginTracker,
     /// The last number given to a failed call.
     last_failed_call: FailedCall,
     /// Which services the work of a class called here; sorted.
@@ -217,7 +217,7 @@
                 quarantine_news: Vec::new(),
                 quarantine_found: Vec::new(),
                 lingering: Vec::new(),
-                origins: Origins::default(),
+                origins: OriginTracker::default(),
                 last_failed_call: 0,
                 calls: Vec::new(),
                 ends: None,
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -83,12 +83,12 @@
         if self.quarantine.case(req.fingerprint).is_held() && !req.released {
             return Err(Refusal::Quarantined);
         }
-        self.origins.count(&req.route, req.certain_caller);
+        self.origins.record(&req.route, req.certain_caller);
         if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
             return Err(Refusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
-        let call = req.call && self.origins.says(&req.route) != Some(true);
+        let call = req.call && self.origins.used_by_callers(&req.route) != Some(true);
         self.allowance.share_with(known.guards);
         if req.arrival == Arrival::Repeat {
             let repeat = Repeat { rank: req.rank, call };
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    decide::{fingerprint::Fingerprint, origin::Origin, pace::Pace, shares::Shares},
+    decide::{fingerprint::Fingerprint, origin::RequestOrigin, pace::Pace, shares::Shares},
     platform,
     proxy::{
         Proxy, client, clock,
@@ -75,7 +75,7 @@
     /// Place in the configuration's routes.
     route: usize,
     service: ServiceName,
-    origin: Origin,
+    origin: RequestOrigin,
     /// The rank of the route, or of the work that made this; 0 goes first.
     rank: u32,
     method: Box<str>,
@@ -277,8 +277,8 @@
     }
 
     /// How urgent a request is: a call is as urgent as the most urgent work that may have made it.
-    fn rank(&self, config: &Config, route: &Route, origin: &Origin) -> u32 {
-        let Origin::Call { parents, .. } = origin else { return route.rank };
+    fn rank(&self, config: &Config, route: &Route, origin: &RequestOrigin) -> u32 {
+        let RequestOrigin::Call { parents, .. } = origin else { return route.rank };
         let parents = self.guard.routes_of(parents);
         let ranks = config.routes().iter().filter(|it| parents.contains(&it.name)).map(|it| it.rank);
         ranks.min().unwrap_or(route.rank)
@@ -317,7 +317,7 @@
         };
         let took = clock::now().saturating_duration_since(job.arrived);
         let route = job.route();
-        if let Origin::Call { parents, .. } = &job.origin
+        if let RequestOrigin::Call { parents, .. } = &job.origin
             && !resp.status().is_success()
         {
             self.guard.call_failed(parents);
@@ -363,7 +363,7 @@
     }
 
     fn is_call(&self) -> bool {
-        matches!(self.origin, Origin::Call { .. })
+        matches!(self.origin, RequestOrigin::Call { .. })
     }
 
     /// What the next attempt is to the allowance of its guard.
@@ -377,8 +377,8 @@
     /// How much of the request counts as a repeat where it goes, 0 to 1.
     fn repeat_share(&self) -> f64 {
         match self.origin {
-            Origin::Call { repeat_share, .. } => repeat_share,
-            Origin::Caller { .. } => 0.0,
+            RequestOrigin::Call { repeat_share, .. } => repeat_share,
+            RequestOrigin::Caller { .. } => 0.0,
         }
     }
 
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -12,7 +12,7 @@
 use crate::{
     decide::{
         incarnation::EndpointId,
-        origin::Origin,
+        origin::RequestOrigin,
         patience::{Terms, begin_by},
         place::{Candidate, Order, order},
         suspicion::{self, Standing},
@@ -256,7 +256,7 @@
             trial: Self::may_be_trial(job),
             arrival: job.next_arrival(),
             call: job.is_call(),
-            certain_caller: job.origin == Origin::Caller { certain: true },
+            certain_caller: job.origin == RequestOrigin::Caller { certain: true },
             rank: job.rank,
             useful_for: patience.saturating_duration_since(clock::now()),
             accepts,
--- a/tests/origin.rs
+++ b/tests/origin.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jayreach::decide::origin::{Origin, Origins, Work};
+use jayreach::decide::origin::{OriginTracker, RequestOrigin, RunningWork};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use rstest::rstest;
 
@@ -10,28 +10,28 @@
     Duration::from_millis(count)
 }
 
-fn work(id: u64, route: &str, until: Instant, repeat_share: f64) -> Work<'_> {
-    Work { id, route, until, repeat_share }
+fn work(id: u64, route: &str, until: Instant, repeat_share: f64) -> RunningWork<'_> {
+    RunningWork { id, route, until, repeat_share }
 }
 
-const CERTAIN: Origin = Origin::Caller { certain: true };
-const BY_ROUTE: Origin = Origin::Caller { certain: false };
+const CERTAIN: RequestOrigin = RequestOrigin::Caller { certain: true };
+const BY_ROUTE: RequestOrigin = RequestOrigin::Caller { certain: false };
 
 #[test]
 fn a_request_that_outlives_all_work_here_is_a_callers_and_so_is_its_route() {
     let now = Instant::now();
-    let mut origins = Origins::default();
+    let mut origins = OriginTracker::default();
     let works = [work(1, "pay", now + ms(2_000), 0.0)];
 
-    let first = origins.judge("view", now + ms(4_000), &works);
-    let second = origins.judge("view", now + ms(1_000), &works);
+    let first = origins.classify("view", now + ms(4_000), &works);
+    let second = origins.classify("view", now + ms(1_000), &works);
 
     assert_eq!((first, second), (CERTAIN, BY_ROUTE));
 }
 
 #[test]
 fn a_request_beside_an_idle_endpoint_is_a_callers() {
-    assert_eq!(Origins::default().judge("view", Instant::now(), &[]), CERTAIN);
+    assert_eq!(OriginTracker::default().classify("view", Instant::now(), &[]), CERTAIN);
 }
 
 #[test]
@@ -43,26 +43,26 @@
         work(3, "look", now + ms(200), 1.0),
     ];
 
-    let origin = Origins::default().judge("price", now + ms(1_500), &works);
+    let origin = OriginTracker::default().classify("price", now + ms(1_500), &works);
 
-    assert_eq!(origin, Origin::Call { parents: vec![1, 2], repeat_share: 0.5 });
+    assert_eq!(origin, RequestOrigin::Call { parents: vec![1, 2], repeat_share: 0.5 });
 }
 
 #[test]
 fn what_a_guard_says_of_a_route_holds_until_it_says_otherwise() {
     let now = Instant::now();
     let works = [work(1, "plan", now + ms(50_000), 0.0)];
-    let mut origins = Origins::default();
+    let mut origins = OriginTracker::default();
 
-    let unknown = origins.judge("charge", now + ms(10_000), &works);
-    origins.tell("charge", true);
-    let told = origins.judge("charge", now + ms(10_000), &works);
-    origins.tell("charge", false);
-    let corrected = origins.judge("charge", now + ms(10_000), &works);
+    let unknown = origins.classify("charge", now + ms(10_000), &works);
+    origins.set_used_by_callers("charge", true);
+    let told = origins.classify("charge", now + ms(10_000), &works);
+    origins.set_used_by_callers("charge", false);
+    let corrected = origins.classify("charge", now + ms(10_000), &works);
 
-    assert!(matches!(unknown, Origin::Call { .. }));
+    assert!(matches!(unknown, RequestOrigin::Call { .. }));
     assert_eq!(told, BY_ROUTE);
-    assert!(matches!(corrected, Origin::Call { .. }));
+    assert!(matches!(corrected, RequestOrigin::Call { .. }));
 }
 
 #[rstest]
@@ -75,21 +75,21 @@
     #[case] certain: u32,
     #[case] wanted: Option<bool>,
 ) {
-    let mut origins = Origins::default();
+    let mut origins = OriginTracker::default();
 
-    (0..all).for_each(|at| origins.count("route", at < certain));
+    (0..all).for_each(|at| origins.record("route", at < certain));
 
-    assert_eq!(origins.says("route"), wanted);
+    assert_eq!(origins.used_by_callers("route"), wanted);
 }
 
 #[test]
 fn a_wrong_mark_heals() {
-    let mut origins = Origins::default();
-    (0..20).for_each(|_| origins.count("price", true));
+    let mut origins = OriginTracker::default();
+    (0..20).for_each(|_| origins.record("price", true));
 
-    (0..3_000).for_each(|_| origins.count("price", false));
+    (0..3_000).for_each(|_| origins.record("price", false));
 
-    assert_eq!(origins.says("price"), Some(false));
+    assert_eq!(origins.used_by_callers("price"), Some(false));
 }
 
 /// VMs of three services, whose endpoints are hardly ever idle from the start; the work of one outlives what any other
@@ -106,8 +106,8 @@
     const VMS: usize = 9;
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
-    let mut guard = Origins::default();
-    let mut ingresses = vec![Origins::default(); VMS];
+    let mut guard = OriginTracker::default();
+    let mut ingresses = vec![OriginTracker::default(); VMS];
     let mut works: Vec<Vec<(u64, &str, Instant, Instant)>> = vec![Vec::new(); VMS];
     let (mut requests, mut wrong_requests, mut wrong_calls) = (0, 0, 0);
     for tick in 0..80_000 {
@@ -121,12 +121,12 @@
         }
         let running: Vec<_> = works.iter().map(|it| work(it.0, it.1, it.2, 0.0)).collect();
         let mut ask = |route: &str, until: Instant| {
-            let origin = ingresses[vm].judge(route, until, &running);
-            guard.count(route, origin == CERTAIN);
-            if let Some(is_callers) = guard.says(route) {
-                ingresses[vm].tell(route, is_callers);
+            let origin = ingresses[vm].classify(route, until, &running);
+            guard.record(route, origin == CERTAIN);
+            if let Some(is_callers) = guard.used_by_callers(route) {
+                ingresses[vm].set_used_by_callers(route, is_callers);
             }
-            matches!(origin, Origin::Call { .. }) && guard.says(route) != Some(true)
+            matches!(origin, RequestOrigin::Call { .. }) && guard.used_by_callers(route) != Some(true)
         };
         if rng.random_bool(0.1) {
             let (class, deadline) = CLASSES[rng.random_range(0..CLASSES.len())];
