--- a/src/daemon/view.rs
+++ b/src/daemon/view.rs
@@ -38,12 +38,12 @@
 impl Guard {
     /// The guard answered, whatever it said.
     pub(crate) fn answered(&self) {
-        lock(&self.path).answered();
+        lock(&self.path).record_success();
     }
 
     /// The guard could not be reached or gave no answer.
     pub(crate) fn failed(&self) {
-        lock(&self.path).failed(Instant::now());
+        lock(&self.path).record_failure(Instant::now());
         metrics::counter!("jayreach_path_failures_total").increment(1);
     }
 }
@@ -94,7 +94,7 @@
         Candidate {
             near: self.guard.near,
             suspect: self.row.state == EndpointState::Suspect,
-            avoid: refuses || was_tried || lock(&self.guard.path).rests(now),
+            avoid: refuses || was_tried || lock(&self.guard.path).is_backing_off(now),
             load: in_flight.max(told.map_or(0, |it| it.load)),
             slots: self.row.slots,
         }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -5,7 +5,7 @@
 mod choice;
 mod detector;
 mod floor;
-mod path;
+mod path_health;
 mod standing;
 
 pub mod allowance;
@@ -29,5 +29,5 @@
 pub use choice::{Candidate, Choice, choose};
 pub use detector::{Detector, Evidence, Sample, baseline, enough_evidence, failure_level, level_rate};
 pub use floor::{Standing as FloorStanding, eligible};
-pub use path::PathHealth;
+pub use path_health::PathHealth;
 pub use standing::{Event, Standing, Tuning};
--- a/src/decide/path.rs
+++ b/src/decide/path_health.rs
@@ -16,19 +16,19 @@
 
 impl PathHealth {
     /// The peer answered, whatever it said.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// The peer could not be reached or gave no answer.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         let rest = FIRST_REST.saturating_mul(1 << self.failures.min(16)).min(LONGEST_REST);
         self.failures += 1;
         self.rests_until = Some(now + rest);
     }
 
     /// Whether the path should be avoided.
-    pub fn rests(&self, now: Instant) -> bool {
+    pub fn is_backing_off(&self, now: Instant) -> bool {
         self.rests_until.is_some_and(|it| now < it)
     }
 }
--- a/src/proxy/peer.rs
+++ b/src/proxy/peer.rs
@@ -252,7 +252,7 @@
             return Err(LinkError::NotConnected);
         }
         let resp = sender.send_request(http).await?;
-        self.health.borrow_mut().answered();
+        self.health.borrow_mut().record_success();
         let status = resp.status();
         let body = client::collect(resp.into_body(), REPLY_LIMIT)
             .await
@@ -285,12 +285,12 @@
 
     /// The peer gave no answer, or can't be reached.
     pub(super) fn failed(&self, now: Instant) {
-        self.health.borrow_mut().failed(now);
+        self.health.borrow_mut().record_failure(now);
     }
 
     /// Whether the peer, though connected, should be asked last: its last calls failed.
     pub(super) fn rests(&self, now: Instant) -> bool {
-        self.health.borrow().rests(now)
+        self.health.borrow().is_backing_off(now)
     }
 
     /// Takes in the load that the peer told.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -231,11 +231,11 @@
     let now = Instant::now();
     let mut path = PathHealth::default();
 
-    path.failed(now);
-    path.failed(now);
+    path.record_failure(now);
+    path.record_failure(now);
 
-    assert!(path.rests(now + Duration::from_millis(400)));
-    assert!(!path.rests(now + Duration::from_millis(600)));
-    path.answered();
-    assert!(!path.rests(now));
+    assert!(path.is_backing_off(now + Duration::from_millis(400)));
+    assert!(!path.is_backing_off(now + Duration::from_millis(600)));
+    path.record_success();
+    assert!(!path.is_backing_off(now));
 }
