--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -14,7 +14,7 @@
 pub mod origin;
 pub mod pace;
 pub mod patience;
-pub mod place;
+pub mod placement;
 pub mod quarantine;
 pub mod shares;
 pub mod slot_time;
--- a/src/decide/place.rs
+++ b/src/decide/placement.rs
@@ -31,13 +31,13 @@
 
 /// An endpoint that may be asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidate {
+pub struct PlacementCandidate {
     /// Whether it is in the chooser's data centre.
-    pub near: bool,
+    pub same_data_centre: bool,
     /// What is known of its record.
     pub standing: Standing,
     /// Whether its guard could not be reached just now.
-    pub path_rests: bool,
+    pub path_backing_off: bool,
     /// Requests running and waiting there, as last told, with those sent since.
     pub load: u32,
     /// How much it works on at once.
@@ -46,39 +46,39 @@
 
 /// The order in which to ask, by place in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct CandidateRanking {
     /// Whom to ask, the best first.
-    pub ask: Vec<usize>,
+    pub ranked: Vec<usize>,
     /// Up to this standing endpoints take any work.
-    pub accepts: Standing,
+    pub worst_accepted: Standing,
 }
 
 /// Orders the candidates for one piece of work.
 ///
 /// Of the suspects, work that [may be a trial](super::suspicion::may_be_trial) asks one only: most of them
 /// rest, and each refusal costs a round trip. Other work seldom does, for suspects that nobody tries.
-pub fn order(candidates: &[Candidate], trial: bool, rng: &mut impl Rng) -> Order {
-    let accepts = accepted(candidates);
-    let mut ask = sorted(candidates, |it| it.standing <= accepts, rng);
+pub fn rank_candidates(candidates: &[PlacementCandidate], trial: bool, rng: &mut impl Rng) -> CandidateRanking {
+    let worst_accepted = accepted(candidates);
+    let mut ranked = sorted(candidates, |it| it.standing <= worst_accepted, rng);
     let place = match trial {
         true if rng.random_bool(TRIAL_CHANCE) => Some(0),
-        true => Some(ask.len()),
-        false => rng.random_bool(RISK_CHANCE).then_some(ask.len().min(BEFORE_RISK)),
+        true => Some(ranked.len()),
+        false => rng.random_bool(RISK_CHANCE).then_some(ranked.len().min(BEFORE_RISK)),
     };
     if let Some(place) = place {
-        let others = sorted(candidates, |it| it.standing > accepts && !it.path_rests, rng);
+        let others = sorted(candidates, |it| it.standing > worst_accepted && !it.path_backing_off, rng);
         if !others.is_empty() {
             let one = others[rng.random_range(0..others.len())];
-            ask.insert(place, one);
+            ranked.insert(place, one);
         }
     }
-    Order { ask, accepts }
+    CandidateRanking { ranked, worst_accepted }
 }
 
 /// Up to which standing endpoints take any work: what is left of a service must still bear its load.
-fn accepted(candidates: &[Candidate]) -> Standing {
+fn accepted(candidates: &[PlacementCandidate]) -> Standing {
     let slots = |standing: Standing| -> u32 {
-        candidates.iter().filter(|it| it.standing == standing && !it.path_rests).map(|it| it.slots).sum()
+        candidates.iter().filter(|it| it.standing == standing && !it.path_backing_off).map(|it| it.slots).sum()
     };
     let (clean, declining) = (slots(Standing::Clean), slots(Standing::Declining));
     if clean + declining == 0 {
@@ -91,7 +91,11 @@
 }
 
 /// The places of those that fit, the best first.
-fn sorted(candidates: &[Candidate], fits: impl Fn(&Candidate) -> bool, rng: &mut impl Rng) -> Vec<usize> {
+fn sorted(
+    candidates: &[PlacementCandidate],
+    fits: impl Fn(&PlacementCandidate) -> bool,
+    rng: &mut impl Rng,
+) -> Vec<usize> {
     let fitting = candidates.iter().enumerate().filter(|(_, it)| fits(it));
     let mut scored: Vec<(f32, usize)> =
         fitting.map(|(at, it)| (score(it) + rng.random_range(0.0..JITTER), at)).collect();
@@ -100,7 +104,7 @@
 }
 
 /// The lower, the better.
-fn score(candidate: &Candidate) -> f32 {
+fn score(candidate: &PlacementCandidate) -> f32 {
     /// Whole tiers lie this far apart.
     const TIER: f32 = 1_000.0;
     let standing = match candidate.standing {
@@ -108,7 +112,7 @@
         Standing::Declining => DECLINING_MALUS,
         Standing::Suspect => TIER,
     };
-    let path = if candidate.path_rests { 4.0 * TIER } else { 0.0 };
-    let far = if candidate.near { 0.0 } else { NEAR_BONUS };
+    let path = if candidate.path_backing_off { 4.0 * TIER } else { 0.0 };
+    let far = if candidate.same_data_centre { 0.0 } else { NEAR_BONUS };
     standing + path + far + candidate.load as f32 / candidate.slots.max(1) as f32
 }
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -14,7 +14,7 @@
         incarnation::EndpointId,
         origin::RequestOrigin,
         patience::{Terms, begin_by},
-        place::{Candidate, Order, order},
+        placement::{CandidateRanking, PlacementCandidate, rank_candidates},
         suspicion::{self, Standing},
     },
     proxy::{
@@ -50,7 +50,7 @@
 struct Reachable {
     guard: Guarded,
     /// What is known of it.
-    candidate: Candidate,
+    candidate: PlacementCandidate,
     /// How long ago its load was told.
     told_ago: Duration,
 }
@@ -59,7 +59,7 @@
 struct Choice {
     endpoints: Vec<Reachable>,
     /// By place in `endpoints`.
-    order: Order,
+    order: CandidateRanking,
 }
 
 impl Proxy {
@@ -117,18 +117,18 @@
             (served.service == job.service).then(|| Self::reachable_there(name, link, endpoint))?
         });
         let endpoints: Vec<Reachable> = here.into_iter().chain(there).collect();
-        let candidates: Vec<Candidate> = endpoints.iter().map(|it| it.candidate).collect();
-        let order = order(&candidates, Self::may_be_trial(job), &mut rand::rng());
+        let candidates: Vec<PlacementCandidate> = endpoints.iter().map(|it| it.candidate).collect();
+        let order = rank_candidates(&candidates, Self::may_be_trial(job), &mut rand::rng());
         Choice { endpoints, order }
     }
 
     /// This VM's endpoint.
     fn reachable_here(&self, endpoint: &Serving) -> Reachable {
         let (running, waiting) = self.guard.load();
-        let candidate = Candidate {
-            near: true,
+        let candidate = PlacementCandidate {
+            same_data_centre: true,
             standing: endpoint.standing,
-            path_rests: false,
+            path_backing_off: false,
             load: running + waiting,
             slots: endpoint.slots,
         };
@@ -142,10 +142,10 @@
             return None;
         }
         let now = clock::now();
-        let candidate = Candidate {
-            near: link.near,
+        let candidate = PlacementCandidate {
+            same_data_centre: link.near,
             standing: link.standing(),
-            path_rests: link.rests(now),
+            path_backing_off: link.rests(now),
             load: link.load(now),
             slots: endpoint.slots,
         };
@@ -171,7 +171,7 @@
 
     /// Asks guards in order until one gives a place; `None` if all refused.
     async fn ask(self: &Rc<Self>, job: &Job, choice: &Choice, patience: Instant, start: Instant) -> Option<Placed> {
-        let mut rest = choice.order.ask.iter();
+        let mut rest = choice.order.ranked.iter();
         let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, Refusal>)>> = FuturesUnordered::new();
         let asked_before = job.asked.get();
         let begin = tokio::time::Instant::now();
@@ -186,7 +186,7 @@
                     job,
                     &choice.endpoints[*at].guard,
                     *at,
-                    choice.order.accepts,
+                    choice.order.worst_accepted,
                     patience,
                 )));
             }
--- a/tests/gray_fleet.rs
+++ b/tests/gray_fleet.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use jayreach::decide::{
-    place::{Candidate, order},
+    placement::{PlacementCandidate, rank_candidates},
     suspicion::{Record, Sample, Standing, may_be_trial},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -49,11 +49,11 @@
         }
     }
 
-    fn candidates(&self, endpoints: &[usize]) -> Vec<Candidate> {
-        let candidate = |it: &usize| Candidate {
-            near: true,
+    fn candidates(&self, endpoints: &[usize]) -> Vec<PlacementCandidate> {
+        let candidate = |it: &usize| PlacementCandidate {
+            same_data_centre: true,
             standing: self.records[*it].standing(),
-            path_rests: false,
+            path_backing_off: false,
             load: 0,
             slots: 4,
         };
@@ -63,9 +63,9 @@
     fn place(&mut self, trial: bool, tried: &[usize]) -> Option<usize> {
         let open: Vec<usize> = (0..ENDPOINTS).filter(|it| !tried.contains(it)).collect();
         let candidates = self.candidates(&open);
-        let order = order(&candidates, trial, &mut self.rng);
-        let admitted = |it: &usize| self.records[*it].admits(order.accepts, trial, 0, self.now);
-        order.ask.into_iter().map(|it| open[it]).find(admitted)
+        let order = rank_candidates(&candidates, trial, &mut self.rng);
+        let admitted = |it: &usize| self.records[*it].admits(order.worst_accepted, trial, 0, self.now);
+        order.ranked.into_iter().map(|it| open[it]).find(admitted)
     }
 
     fn work(&mut self, at: usize) -> End {
@@ -163,9 +163,9 @@
     for _ in 0..25 * 30 {
         fleet.now += 40 * MS;
         let candidates = fleet.candidates(&(0..ENDPOINTS).collect::<Vec<_>>());
-        let order = order(&candidates, false, &mut fleet.rng);
-        let admitted = |it: &&usize| fleet.records[**it].admits(order.accepts, false, 0, fleet.now);
-        if let Some(at) = order.ask[3..].iter().find(admitted) {
+        let order = rank_candidates(&candidates, false, &mut fleet.rng);
+        let admitted = |it: &&usize| fleet.records[**it].admits(order.worst_accepted, false, 0, fleet.now);
+        if let Some(at) = order.ranked[3..].iter().find(admitted) {
             fleet.work(*at);
         }
     }
--- a/tests/proxy_decisions.rs
+++ b/tests/proxy_decisions.rs
@@ -4,7 +4,7 @@
 
 use jayreach::decide::{
     pace::Pace,
-    place::{Candidate, order},
+    placement::{PlacementCandidate, rank_candidates},
     shares::Shares,
     suspicion::{Record, Sample, Standing},
 };
@@ -167,8 +167,8 @@
 
 // Placing
 
-fn candidate(near: bool, standing: Standing, load: u32) -> Candidate {
-    Candidate { near, standing, path_rests: false, load, slots: 4 }
+fn candidate(same_data_centre: bool, standing: Standing, load: u32) -> PlacementCandidate {
+    PlacementCandidate { same_data_centre, standing, path_backing_off: false, load, slots: 4 }
 }
 
 #[test]
@@ -180,7 +180,7 @@
     ];
 
     for _ in 0..50 {
-        assert_eq!(order(&candidates, false, &mut rng()).ask, [2, 0, 1]);
+        assert_eq!(rank_candidates(&candidates, false, &mut rng()).ranked, [2, 0, 1]);
     }
 }
 
@@ -190,10 +190,10 @@
     candidates.push(candidate(true, Standing::Suspect, 0));
     let mut rng = rng();
 
-    let orders: Vec<_> = (0..1_000).map(|_| order(&candidates, false, &mut rng)).collect();
+    let orders: Vec<_> = (0..1_000).map(|_| rank_candidates(&candidates, false, &mut rng)).collect();
 
-    assert!(orders.iter().all(|it| it.accepts == Standing::Clean && !it.ask[..3].contains(&5)));
-    let asked = orders.iter().filter(|it| it.ask.contains(&5)).count();
+    assert!(orders.iter().all(|it| it.worst_accepted == Standing::Clean && !it.ranked[..3].contains(&5)));
+    let asked = orders.iter().filter(|it| it.ranked.contains(&5)).count();
     assert!(
         (250..350).contains(&asked),
         "{asked} of 1000; the suspect's guard refuses unless nobody tried it for long"
@@ -204,10 +204,10 @@
 fn when_all_are_suspect_suspicion_means_nothing() {
     let candidates = [candidate(true, Standing::Suspect, 0), candidate(true, Standing::Suspect, 0)];
 
-    let order = order(&candidates, false, &mut rng());
+    let order = rank_candidates(&candidates, false, &mut rng());
 
-    assert_eq!(order.accepts, Standing::Suspect);
-    assert_eq!(order.ask.len(), 2);
+    assert_eq!(order.worst_accepted, Standing::Suspect);
+    assert_eq!(order.ranked.len(), 2);
 }
 
 #[rstest]
@@ -227,10 +227,10 @@
     candidates.extend(vec![candidate(true, Standing::Declining, 0); declining]);
     candidates.extend(vec![candidate(true, Standing::Suspect, 0); suspect]);
 
-    let order = order(&candidates, false, &mut rng());
+    let order = rank_candidates(&candidates, false, &mut rng());
 
-    assert_eq!(order.accepts, accepts);
-    let beyond = order.ask.iter().filter(|it| candidates[**it].standing > accepts).count();
+    assert_eq!(order.worst_accepted, accepts);
+    let beyond = order.ranked.iter().filter(|it| candidates[**it].standing > accepts).count();
     assert!(beyond <= 1, "one at most, as a trial");
 }
 
@@ -239,7 +239,7 @@
     let candidates = [candidate(true, Standing::Suspect, 0), candidate(true, Standing::Clean, 0)];
     let mut rng = rng();
 
-    let tried = (0..1_000).filter(|_| order(&candidates, true, &mut rng).ask[0] == 0).count();
+    let tried = (0..1_000).filter(|_| rank_candidates(&candidates, true, &mut rng).ranked[0] == 0).count();
 
     assert!((300..500).contains(&tried), "{tried} of 1000");
 }
