--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -36,7 +36,7 @@
 
 /// What is known against a request. Merged field by field, so that all proxies agree whatever they hear first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Case {
+pub struct CrashRecord {
     /// How often a good answer cleared it. The rest is of the time since.
     cleared: u32,
     /// The evidence by endpoints that ended under it; `HELD_AT` and more hold it back.
@@ -45,14 +45,14 @@
     trials: u32,
 }
 
-impl Case {
+impl CrashRecord {
     /// How much speaks against it.
     pub fn evidence(self) -> u32 {
         self.evidence
     }
 
     /// Whether it is held back.
-    pub fn is_held(self) -> bool {
+    pub fn is_quarantined(self) -> bool {
         self.evidence >= HELD_AT
     }
 
@@ -99,11 +99,12 @@
 
 /// A case as proxies tell it each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldCase {
+pub struct CrashRecordUpdate {
     /// Of which request.
     pub fingerprint: Fingerprint,
     /// What is known.
-    pub case: Case,
+    #[serde(rename = "case")]
+    pub record: CrashRecord,
     /// How long ago that changed, or the request came last.
     pub age: Duration,
 }
@@ -111,7 +112,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     fingerprint: Fingerprint,
-    case: Case,
+    record: CrashRecord,
     /// When the case changed, or the request came last, anywhere.
     touched: Instant,
     /// When this proxy heard of the last change, or put a trial off.
@@ -120,7 +121,7 @@
 
 impl Entry {
     fn is_over(&self, now: Instant) -> bool {
-        let kept = if self.case.is_held() { HELD_REMEMBERED } else { REMEMBERED };
+        let kept = if self.record.is_quarantined() { HELD_REMEMBERED } else { REMEMBERED };
         now.saturating_duration_since(self.touched) >= kept
     }
 }
@@ -134,21 +135,21 @@
 
 impl Quarantine {
     /// What is known against a request.
-    pub fn case(&self, fingerprint: Fingerprint) -> Case {
-        self.find(fingerprint).map_or_else(|_| Case::default(), |at| self.entries[at].case)
+    pub fn record(&self, fingerprint: Fingerprint) -> CrashRecord {
+        self.find(fingerprint).map_or_else(|_| CrashRecord::default(), |at| self.entries[at].record)
     }
 
     /// What is known against a request that has just come.
-    pub fn came(&mut self, fingerprint: Fingerprint, now: Instant) -> Case {
-        let Ok(at) = self.find(fingerprint) else { return Case::default() };
+    pub fn touch(&mut self, fingerprint: Fingerprint, now: Instant) -> CrashRecord {
+        let Ok(at) = self.find(fingerprint) else { return CrashRecord::default() };
         self.entries[at].touched = now;
-        self.entries[at].case
+        self.entries[at].record
     }
 
     /// An endpoint ended under this work, each piece with what was known against it when it began. Returns of which
     /// requests that is news.
-    pub fn end_under(&mut self, work: &[(Fingerprint, Case)], now: Instant) -> Vec<Fingerprint> {
-        let suspect = |it: &&(Fingerprint, Case)| self.case(it.0).is_suspect();
+    pub fn record_crash(&mut self, work: &[(Fingerprint, CrashRecord)], now: Instant) -> Vec<Fingerprint> {
+        let suspect = |it: &&(Fingerprint, CrashRecord)| self.record(it.0).is_suspect();
         let suspects: Vec<Fingerprint> = work.iter().filter(suspect).map(|it| it.0).collect();
         let mut news = Vec::new();
         for (fingerprint, known) in work {
@@ -161,30 +162,30 @@
     }
 
     /// An endpoint answered the request well. Returns whether that is news.
-    pub fn answered_well(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        let case = self.case(fingerprint);
-        case.is_suspect() && self.merge(fingerprint, case.after_good_answer(), now)
+    pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+        let record = self.record(fingerprint);
+        record.is_suspect() && self.merge(fingerprint, record.after_good_answer(), now)
     }
 
     /// Takes in what another knows of a request. Returns whether that is news.
-    pub fn merge(&mut self, fingerprint: Fingerprint, case: Case, now: Instant) -> bool {
-        self.merge_told(&ToldCase { fingerprint, case, age: Duration::ZERO }, now)
+    pub fn merge(&mut self, fingerprint: Fingerprint, record: CrashRecord, now: Instant) -> bool {
+        self.merge_update(&CrashRecordUpdate { fingerprint, record, age: Duration::ZERO }, now)
     }
 
     /// Takes in what another proxy tells. Returns whether that is news.
-    pub fn merge_told(&mut self, told: &ToldCase, now: Instant) -> bool {
+    pub fn merge_update(&mut self, told: &CrashRecordUpdate, now: Instant) -> bool {
         let touched = now.checked_sub(told.age).unwrap_or(now);
-        let new = Entry { fingerprint: told.fingerprint, case: told.case, touched, since: now };
-        if told.case == Case::default() || new.is_over(now) {
+        let new = Entry { fingerprint: told.fingerprint, record: told.record, touched, since: now };
+        if told.record == CrashRecord::default() || new.is_over(now) {
             return false;
         }
         match self.find(told.fingerprint) {
             Ok(at) => {
                 let known = &mut self.entries[at];
-                let before = known.case;
-                known.case = before.merge(told.case);
+                let before = known.record;
+                known.record = before.merge(told.record);
                 known.touched = known.touched.max(touched);
-                let is_news = known.case != before;
+                let is_news = known.record != before;
                 if is_news {
                     known.since = now;
                 }
@@ -199,24 +200,24 @@
     }
 
     /// How long until a request that is held back may have its next trial; `None` if it has had all.
-    pub fn trial_in(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+    pub fn next_trial_in(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
         let it = &self.entries[self.find(fingerprint).ok()?];
-        let pause = TRIALS_AFTER.get(it.case.trials as usize)?;
+        let pause = TRIALS_AFTER.get(it.record.trials as usize)?;
         Some(pause.saturating_sub(now.saturating_duration_since(it.since)))
     }
 
     /// The next trial is due after its whole pause from now: it could not begin, or another proxy has begun it.
-    pub fn put_off_trial(&mut self, fingerprint: Fingerprint, now: Instant) {
+    pub fn postpone_trial(&mut self, fingerprint: Fingerprint, now: Instant) {
         if let Ok(at) = self.find(fingerprint) {
             self.entries[at].since = now;
         }
     }
 
     /// All cases, to be told to another proxy.
-    pub fn tell(&self, now: Instant) -> Vec<ToldCase> {
-        let tell = |it: &Entry| ToldCase {
+    pub fn updates(&self, now: Instant) -> Vec<CrashRecordUpdate> {
+        let tell = |it: &Entry| CrashRecordUpdate {
             fingerprint: it.fingerprint,
-            case: it.case,
+            record: it.record,
             age: now.saturating_duration_since(it.touched),
         };
         self.entries.iter().map(tell).collect()
@@ -224,21 +225,21 @@
 
     /// How many requests are suspect, and how many of them are held back.
     pub fn counts(&self) -> (usize, usize) {
-        let count = |which: fn(Case) -> bool| self.entries.iter().filter(|it| which(it.case)).count();
-        (count(Case::is_suspect), count(Case::is_held))
+        let count = |which: fn(CrashRecord) -> bool| self.entries.iter().filter(|it| which(it.record)).count();
+        (count(CrashRecord::is_suspect), count(CrashRecord::is_quarantined))
     }
 
     /// One number that differs where any case differs.
     pub fn digest(&self) -> u64 {
         let hash = |it: &Entry| {
-            let Case { cleared, evidence, trials } = it.case;
+            let CrashRecord { cleared, evidence, trials } = it.record;
             mix(&[it.fingerprint.number(), cleared.into(), evidence.into(), trials.into()])
         };
         self.entries.iter().map(hash).fold(0, u64::wrapping_add)
     }
 
     /// Forgets what is over.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.entries.retain(|it| !it.is_over(now));
     }
 
@@ -253,7 +254,7 @@
         }
         let least = (0..self.entries.len()).min_by_key(|at| {
             let it = &self.entries[*at];
-            (it.case.is_held(), it.touched)
+            (it.record.is_quarantined(), it.touched)
         });
         if let Some(at) = least {
             self.entries.remove(at);
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -7,7 +7,7 @@
 
 use super::store::{CALL_TIMEOUT, Consistency, Object, Page, Revision, Store, StoreFailure, text};
 use crate::{
-    decide::{fingerprint::Fingerprint, quarantine::Case},
+    decide::{fingerprint::Fingerprint, quarantine::CrashRecord},
     proxy::directory::ProxyName,
 };
 
@@ -32,7 +32,7 @@
     /// Which request.
     pub fingerprint: Fingerprint,
     /// What is known against it.
-    pub case: Case,
+    pub case: CrashRecord,
     /// The proxy that wrote this.
     pub by: ProxyName,
 }
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trial {
     /// The asking proxy's; the case with it.
-    Begun(Case),
+    Begun(CrashRecord),
     /// Another proxy's; the case as far as known.
-    Another(Case),
+    Another(CrashRecord),
 }
 
 /// An object of a kind of ours.
@@ -248,7 +248,7 @@
     Ok(Bytes::from(serde_json::to_vec(&object)?))
 }
 
-fn begun(status: StatusCode, next: Case, known: Case) -> Result<Trial, StoreFailure> {
+fn begun(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<Trial, StoreFailure> {
     if status == StatusCode::CONFLICT { Ok(Trial::Another(known)) } else { done(status).map(|()| Trial::Begun(next)) }
 }
 
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::{
-    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::Case},
+    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::CrashRecord},
     proxy::{
         directory::Incarnation,
         message::{Grant, GrantId, NotRun, RunEnd},
@@ -44,7 +44,7 @@
     /// How much of it counts as a repeat, 0 to 1.
     pub repeat_share: f64,
     /// What was known against the request when it was begun.
-    pub known: Case,
+    pub known: CrashRecord,
     /// When it was begun.
     pub begun: Instant,
     /// The endpoint was told to stop by then.
--- a/src/proxy/guard/quarantined.rs
+++ b/src/proxy/guard/quarantined.rs
@@ -7,7 +7,7 @@
     decide::{
         fingerprint::Fingerprint,
         incarnation::EndpointId,
-        quarantine::{Case, ToldCase},
+        quarantine::{CrashRecord, CrashRecordUpdate},
     },
     proxy::{clock, events::Event, message::Grant},
 };
@@ -42,28 +42,28 @@
 
 impl Guard {
     /// What is known against a request.
-    pub fn case(&self, fingerprint: Fingerprint) -> Case {
-        self.state.borrow().quarantine.case(fingerprint)
+    pub fn case(&self, fingerprint: Fingerprint) -> CrashRecord {
+        self.state.borrow().quarantine.record(fingerprint)
     }
 
     /// What is known against a request that has just come.
-    pub fn came(&self, fingerprint: Fingerprint) -> Case {
-        self.state.borrow_mut().quarantine.came(fingerprint, clock::now())
+    pub fn came(&self, fingerprint: Fingerprint) -> CrashRecord {
+        self.state.borrow_mut().quarantine.touch(fingerprint, clock::now())
     }
 
     /// Takes in what a guard said of a request.
-    pub(in crate::proxy) fn take_case(self: &Rc<Self>, fingerprint: Fingerprint, case: Case) {
-        let told = ToldCase { fingerprint, case, age: Duration::ZERO };
+    pub(in crate::proxy) fn take_case(self: &Rc<Self>, fingerprint: Fingerprint, case: CrashRecord) {
+        let told = CrashRecordUpdate { fingerprint, record: case, age: Duration::ZERO };
         self.take_cases(&[told], Source::Peer);
     }
 
     /// Takes in what others know against requests.
-    pub(in crate::proxy) fn take_cases(self: &Rc<Self>, cases: &[ToldCase], source: Source) {
+    pub(in crate::proxy) fn take_cases(self: &Rc<Self>, cases: &[CrashRecordUpdate], source: Source) {
         let now = clock::now();
         for it in cases {
             let mut state = self.state.borrow_mut();
-            let before = state.quarantine.case(it.fingerprint).is_held();
-            let is_news = state.quarantine.merge_told(it, now);
+            let before = state.quarantine.record(it.fingerprint).is_quarantined();
+            let is_news = state.quarantine.merge_update(it, now);
             drop(state);
             if is_news {
                 self.note_news(it.fingerprint, before, source);
@@ -75,10 +75,11 @@
     pub(super) fn blame_work_at(self: &Rc<Self>, endpoint: &EndpointId) {
         let mut state = self.state.borrow_mut();
         let State { ledger, quarantine, .. } = &mut *state;
-        let work: Vec<(Fingerprint, Case)> =
+        let work: Vec<(Fingerprint, CrashRecord)> =
             ledger.working_at(endpoint).map(|(purpose, it)| (purpose.fingerprint, it.known)).collect();
-        let before: Vec<(Fingerprint, bool)> = work.iter().map(|it| (it.0, quarantine.case(it.0).is_held())).collect();
-        let news = quarantine.end_under(&work, clock::now());
+        let before: Vec<(Fingerprint, bool)> =
+            work.iter().map(|it| (it.0, quarantine.record(it.0).is_quarantined())).collect();
+        let news = quarantine.record_crash(&work, clock::now());
         drop(state);
         for (fingerprint, held) in before.into_iter().filter(|it| news.contains(&it.0)) {
             self.note_news(fingerprint, held, Source::Ended);
@@ -96,7 +97,7 @@
             fingerprint,
             ran_ms: ran.as_millis(),
             running: state.ledger.working_at(&grant.endpoint).count(),
-            evidence: state.quarantine.case(fingerprint).evidence(),
+            evidence: state.quarantine.record(fingerprint).evidence(),
         });
         metrics::counter!("jayreach_endpoint_ended_under_work_total").increment(1);
     }
@@ -104,8 +105,8 @@
     /// The endpoint answered a request well.
     pub(super) fn answered_well(self: &Rc<Self>, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
-        let before = state.quarantine.case(fingerprint).is_held();
-        let is_news = state.quarantine.answered_well(fingerprint, clock::now());
+        let before = state.quarantine.record(fingerprint).is_quarantined();
+        let is_news = state.quarantine.record_success(fingerprint, clock::now());
         drop(state);
         if is_news {
             self.note_news(fingerprint, before, Source::Answered);
@@ -113,18 +114,18 @@
     }
 
     /// The cases of which there is something to tell, once.
-    pub(in crate::proxy) fn take_quarantine_news(&self) -> Vec<ToldCase> {
+    pub(in crate::proxy) fn take_quarantine_news(&self) -> Vec<CrashRecordUpdate> {
         let mut state = self.state.borrow_mut();
         let mut news = std::mem::take(&mut state.quarantine_news);
         news.sort_unstable();
         news.dedup();
-        let cases = state.quarantine.tell(clock::now());
+        let cases = state.quarantine.updates(clock::now());
         cases.into_iter().filter(|it| news.binary_search(&it.fingerprint).is_ok()).collect()
     }
 
     /// All cases.
-    pub(in crate::proxy) fn cases(&self) -> Vec<ToldCase> {
-        self.state.borrow().quarantine.tell(clock::now())
+    pub(in crate::proxy) fn cases(&self) -> Vec<CrashRecordUpdate> {
+        self.state.borrow().quarantine.updates(clock::now())
     }
 
     /// One number that differs where any case differs.
@@ -134,17 +135,17 @@
 
     /// Forgets cases that are over.
     pub(in crate::proxy) fn forget_cases(&self) {
-        self.state.borrow_mut().quarantine.forget(clock::now());
+        self.state.borrow_mut().quarantine.remove_expired(clock::now());
     }
 
     /// How long until a request that is held back may have its next trial; `None` if it has had all.
     pub(in crate::proxy) fn trial_in(&self, fingerprint: Fingerprint) -> Option<Duration> {
-        self.state.borrow().quarantine.trial_in(fingerprint, clock::now())
+        self.state.borrow().quarantine.next_trial_in(fingerprint, clock::now())
     }
 
     /// The next trial of a request is due after its whole pause from now.
     pub(in crate::proxy) fn put_off_trial(&self, fingerprint: Fingerprint) {
-        self.state.borrow_mut().quarantine.put_off_trial(fingerprint, clock::now());
+        self.state.borrow_mut().quarantine.postpone_trial(fingerprint, clock::now());
     }
 
     /// The requests of which this VM's endpoint showed that they are to be held back, or no longer, once.
@@ -159,12 +160,12 @@
         if matches!(source, Source::Ended | Source::Answered) {
             state.quarantine_found.push(fingerprint);
         }
-        let case = state.quarantine.case(fingerprint);
+        let case = state.quarantine.record(fingerprint);
         let (suspects, quarantined) = state.quarantine.counts();
         drop(state);
         metrics::gauge!("jayreach_suspect_requests").set(suspects as f64);
         metrics::gauge!("jayreach_quarantined_requests").set(quarantined as f64);
-        let held = case.is_held();
+        let held = case.is_quarantined();
         if held != was_held {
             let (evidence, source) = (case.evidence(), source.name());
             self.events.emit(&Event::Quarantine { fingerprint, held, evidence, source });
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -75,8 +75,8 @@
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
         let purpose = &ledger.given(run.grant.id)?.purpose;
-        let known = quarantine.case(purpose.fingerprint);
-        if known.is_held() && !purpose.released {
+        let known = quarantine.record(purpose.fingerprint);
+        if known.is_quarantined() && !purpose.released {
             return None;
         }
         let now = clock::now();
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -33,7 +33,7 @@
         let mut tried: Vec<EndpointId> = Vec::new();
         let mut last: Option<Verdict> = None;
         let mut moves = 0;
-        if self.guard.came(job.fingerprint).is_held() {
+        if self.guard.came(job.fingerprint).is_quarantined() {
             job.released.set(self.begin_trial(job.fingerprint).await);
         }
         loop {
@@ -91,7 +91,7 @@
 
     /// Whether the request is held back, and this isn't its trial.
     pub(super) fn is_held(&self, job: &Job) -> bool {
-        self.guard.case(job.fingerprint).is_held() && !job.released.get()
+        self.guard.case(job.fingerprint).is_quarantined() && !job.released.get()
     }
 
     fn failed(&self, job: &Job, placed: &Placed, why: Failure, took: Duration) {
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -329,7 +329,7 @@
             service: &job.service,
             status: resp.status().as_u16(),
             outcome,
-            quarantined: self.guard.case(job.fingerprint).is_held().then_some(job.fingerprint),
+            quarantined: self.guard.case(job.fingerprint).is_quarantined().then_some(job.fingerprint),
             call: job.is_call(),
             asked: job.asked.get(),
             attempts: job.attempts.get(),
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -13,7 +13,7 @@
     decide::{
         fingerprint::Fingerprint,
         incarnation::EndpointId,
-        quarantine::{Case, ToldCase},
+        quarantine::{CrashRecord, CrashRecordUpdate},
         suspicion::EndpointStanding,
     },
     platform::Era,
@@ -97,7 +97,7 @@
     pub fingerprint: Fingerprint,
     /// What the ingress knows against it.
     #[serde(default)]
-    pub case: Case,
+    pub case: CrashRecord,
     /// It is the trial of a request that is held back.
     #[serde(default)]
     pub released: bool,
@@ -140,7 +140,7 @@
     pub callers_route: Option<bool>,
     /// What the guard knows against the request.
     #[serde(default)]
-    pub case: Case,
+    pub case: CrashRecord,
 }
 
 /// A place at an endpoint.
@@ -263,7 +263,7 @@
     pub end: RunEnd,
     /// What the guard now knows against the request.
     #[serde(default)]
-    pub case: Case,
+    pub case: CrashRecord,
 }
 
 /// Asks what became of a place; one that was not used yet is taken back.
@@ -326,7 +326,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Cases {
     /// The cases.
-    pub cases: Vec<ToldCase>,
+    pub cases: Vec<CrashRecordUpdate>,
     /// The receiver's are wanted in return.
     pub exchange: bool,
 }
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -14,7 +14,7 @@
 use crate::{
     decide::{
         fingerprint::Fingerprint,
-        quarantine::{Case, ToldCase},
+        quarantine::{CrashRecord, CrashRecordUpdate},
     },
     platform::{Consistency, QuarantineObject, StoreFailure, Trial},
     proxy::{
@@ -52,14 +52,14 @@
                 let (link, news) = (Rc::clone(link), news.clone());
                 spawn_local(async move {
                     // What is lost here comes with an exchange.
-                    _ = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &news).await;
+                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(HELLO_TIMEOUT, path::CASES, &news).await;
                 });
             }
         }
     }
 
     /// Takes in what a peer knows against requests, and answers with what is known here if that is wanted.
-    pub(super) fn exchange_cases(&self, theirs: &Cases) -> Vec<ToldCase> {
+    pub(super) fn exchange_cases(&self, theirs: &Cases) -> Vec<CrashRecordUpdate> {
         self.guard.take_cases(&theirs.cases, Source::Peer);
         if theirs.exchange { self.guard.cases() } else { Vec::new() }
     }
@@ -70,7 +70,7 @@
             return;
         }
         let ours = Cases { cases: self.guard.cases(), exchange: true };
-        if let Some(it) = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &ours).await {
+        if let Some(it) = link.call_within::<_, Vec<CrashRecordUpdate>>(HELLO_TIMEOUT, path::CASES, &ours).await {
             self.guard.take_cases(&it, Source::Peer);
         }
     }
@@ -93,8 +93,11 @@
         for it in &list.skipped {
             self.tell_skipped("store", &it.name, &it.why);
         }
-        let told =
-            list.objects.iter().map(|it| ToldCase { fingerprint: it.fingerprint, case: it.case, age: Duration::ZERO });
+        let told = list.objects.iter().map(|it| CrashRecordUpdate {
+            fingerprint: it.fingerprint,
+            record: it.case,
+            age: Duration::ZERO,
+        });
         self.guard.take_cases(&told.collect::<Vec<_>>(), Source::Store);
         Ok(())
     }
@@ -104,7 +107,7 @@
         if !self.watching.get() {
             return;
         }
-        for it in self.guard.cases().into_iter().filter(|it| it.case.is_held()) {
+        for it in self.guard.cases().into_iter().filter(|it| it.record.is_quarantined()) {
             spawn_local(Rc::clone(self).write_down(it.fingerprint));
         }
     }
@@ -114,7 +117,7 @@
         let mut backoff = Backoff::new(&self);
         loop {
             let case = self.guard.case(fingerprint);
-            let done = if case.is_held() {
+            let done = if case.is_quarantined() {
                 let object = QuarantineObject { fingerprint, case, by: self.name.clone() };
                 self.store.add_quarantined(&object).await
             } else if case.is_cleared() {
@@ -158,7 +161,7 @@
         }
     }
 
-    fn take_trial(&self, fingerprint: Fingerprint, case: Case) {
-        self.guard.take_cases(&[ToldCase { fingerprint, case, age: Duration::ZERO }], Source::Trial);
+    fn take_trial(&self, fingerprint: Fingerprint, case: CrashRecord) {
+        self.guard.take_cases(&[CrashRecordUpdate { fingerprint, record: case, age: Duration::ZERO }], Source::Trial);
     }
 }
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use jayreach::{
-    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::Case},
+    decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::CrashRecord},
     proxy::{
         guard::ledger::{Known, Ledger, Purpose, Running},
         message::{Grant, NotRun, RunEnd, Unknown},
@@ -94,7 +94,7 @@
     fn begin(&mut self, guard: usize, grant: &Grant) {
         let running = Running {
             repeat_share: 0.0,
-            known: Case::default(),
+            known: CrashRecord::default(),
             begun: self.now,
             until: self.now,
             failed_calls: Vec::new(),
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use jayreach::{
     decide::{
         fingerprint::Fingerprint,
-        quarantine::{Case, Quarantine, ToldCase},
+        quarantine::{CrashRecord, CrashRecordUpdate, Quarantine},
         suspicion::EndpointStanding,
     },
     proxy::message::{Arrival, Reserve},
@@ -19,8 +19,8 @@
 
 /// An endpoint ended under these requests, all of which had begun when no more was known than now.
 fn end_under(quarantine: &mut Quarantine, requests: &[Fingerprint], now: Instant) {
-    let work: Vec<(Fingerprint, Case)> = requests.iter().map(|it| (*it, quarantine.case(*it))).collect();
-    quarantine.end_under(&work, now);
+    let work: Vec<(Fingerprint, CrashRecord)> = requests.iter().map(|it| (*it, quarantine.record(*it))).collect();
+    quarantine.record_crash(&work, now);
 }
 
 #[test]
@@ -30,7 +30,7 @@
 
     end_under(&mut quarantine, &work, Instant::now());
 
-    assert!(work.iter().all(|it| quarantine.case(*it).is_suspect() && !quarantine.case(*it).is_held()));
+    assert!(work.iter().all(|it| quarantine.record(*it).is_suspect() && !quarantine.record(*it).is_quarantined()));
     assert_eq!(quarantine.counts(), (3, 0));
 }
 
@@ -42,8 +42,8 @@
 
     end_under(&mut quarantine, &[crashing, later], Instant::now());
 
-    assert!(quarantine.case(crashing).is_held());
-    assert!(!quarantine.case(beside).is_held() && !quarantine.case(later).is_held());
+    assert!(quarantine.record(crashing).is_quarantined());
+    assert!(!quarantine.record(beside).is_quarantined() && !quarantine.record(later).is_quarantined());
 }
 
 #[test]
@@ -56,21 +56,21 @@
     assert_eq!(quarantine.counts(), (2, 0));
 
     end_under(&mut quarantine, &both[..1], Instant::now());
-    assert!(quarantine.case(both[0]).is_held() && !quarantine.case(both[1]).is_held());
+    assert!(quarantine.record(both[0]).is_quarantined() && !quarantine.record(both[1]).is_quarantined());
 }
 
 #[test]
 fn ends_at_the_same_time_count_once() {
     let mut quarantine = Quarantine::default();
     let page = fingerprint(1);
-    let unknown = Case::default();
+    let unknown = CrashRecord::default();
 
     // Six endpoints are lost at once, and all of them had work for the same page.
     for _ in 0..6 {
-        quarantine.end_under(&[(page, unknown)], Instant::now());
+        quarantine.record_crash(&[(page, unknown)], Instant::now());
     }
 
-    assert!(quarantine.case(page).is_suspect() && !quarantine.case(page).is_held());
+    assert!(quarantine.record(page).is_suspect() && !quarantine.record(page).is_quarantined());
 }
 
 #[test]
@@ -78,13 +78,13 @@
     let mut quarantine = Quarantine::default();
     let page = fingerprint(1);
     end_under(&mut quarantine, &[page], Instant::now());
-    let older = quarantine.case(page);
+    let older = quarantine.record(page);
 
-    assert!(quarantine.answered_well(page, Instant::now()));
+    assert!(quarantine.record_success(page, Instant::now()));
     assert!(!quarantine.merge(page, older, Instant::now()));
-    quarantine.end_under(&[(page, older)], Instant::now());
+    quarantine.record_crash(&[(page, older)], Instant::now());
 
-    assert!(!quarantine.case(page).is_suspect());
+    assert!(!quarantine.record(page).is_suspect());
 }
 
 #[rstest]
@@ -97,13 +97,13 @@
     let request = fingerprint(1);
     let now = Instant::now();
     (0..ends).for_each(|_| end_under(&mut quarantine, &[request], now));
-    let told = quarantine.tell(now + after);
+    let told = quarantine.updates(now + after);
 
-    quarantine.forget(now + after);
+    quarantine.remove_expired(now + after);
 
-    assert_eq!(quarantine.case(request).is_suspect(), known);
+    assert_eq!(quarantine.record(request).is_suspect(), known);
     // Nor does it come back from a proxy that has not forgotten it yet.
-    assert!(!told.iter().any(|it| quarantine.merge_told(it, now + after)));
+    assert!(!told.iter().any(|it| quarantine.merge_update(it, now + after)));
 }
 
 #[test]
@@ -117,8 +117,8 @@
         end_under(&mut quarantine, &[fingerprint(number)], start + Duration::from_millis(number.into()));
     }
 
-    assert!(quarantine.case(held).is_held());
-    assert!(quarantine.case(fingerprint(4_999)).is_suspect() && !quarantine.case(fingerprint(1)).is_suspect());
+    assert!(quarantine.record(held).is_quarantined());
+    assert!(quarantine.record(fingerprint(4_999)).is_suspect() && !quarantine.record(fingerprint(1)).is_suspect());
     assert!(quarantine.counts().0 <= 2_048);
 }
 
@@ -131,18 +131,18 @@
     (0..2).for_each(|_| end_under(&mut quarantine, &[request], now));
 
     let mut pauses = Vec::new();
-    while let Some(pause) = quarantine.trial_in(request, now) {
+    while let Some(pause) = quarantine.next_trial_in(request, now) {
         pauses.push(pause.as_secs());
         now += pause;
-        assert_eq!(quarantine.trial_in(request, now), Some(Duration::ZERO));
+        assert_eq!(quarantine.next_trial_in(request, now), Some(Duration::ZERO));
         // It begins, and ends its endpoint.
-        let trial = quarantine.case(request).with_trial();
+        let trial = quarantine.record(request).with_trial();
         quarantine.merge(request, trial, now);
         end_under(&mut quarantine, &[request], now);
     }
 
     assert_eq!(pauses, [30, 300, 3_600]);
-    assert!(quarantine.case(request).is_held());
+    assert!(quarantine.record(request).is_quarantined());
 }
 
 #[test]
@@ -151,11 +151,11 @@
     let request = fingerprint(1);
     let now = Instant::now();
     (0..2).for_each(|_| end_under(&mut quarantine, &[request], now));
-    let due = now + quarantine.trial_in(request, now).expect("it has a trial");
+    let due = now + quarantine.next_trial_in(request, now).expect("it has a trial");
 
-    quarantine.put_off_trial(request, due);
+    quarantine.postpone_trial(request, due);
 
-    assert_eq!(quarantine.trial_in(request, due), Some(Duration::from_secs(30)));
+    assert_eq!(quarantine.next_trial_in(request, due), Some(Duration::from_secs(30)));
 }
 
 proptest! {
@@ -169,26 +169,26 @@
         for (at, request, what) in steps {
             let request = fingerprint(request);
             match what {
-                0 => _ = proxies[at].answered_well(request, now),
+                0 => _ = proxies[at].record_success(request, now),
                 1 => end_under(&mut proxies[at], &[request], now),
                 2 => {
-                    let told = proxies[at].tell(now);
-                    told.iter().rev().for_each(|it| _ = proxies[(at + 1) % 3].merge_told(it, now));
+                    let told = proxies[at].updates(now);
+                    told.iter().rev().for_each(|it| _ = proxies[(at + 1) % 3].merge_update(it, now));
                 }
                 _ => {
-                    let told: Option<ToldCase> = proxies[at].tell(now).first().copied();
-                    told.iter().for_each(|it| _ = proxies[(at + 2) % 3].merge_told(it, now));
+                    let told: Option<CrashRecordUpdate> = proxies[at].updates(now).first().copied();
+                    told.iter().for_each(|it| _ = proxies[(at + 2) % 3].merge_update(it, now));
                 }
             }
         }
         for _ in 0..2 {
             for at in 0..3 {
-                let told = proxies[at].tell(now);
-                told.iter().for_each(|it| _ = proxies[(at + 1) % 3].merge_told(it, now));
+                let told = proxies[at].updates(now);
+                told.iter().for_each(|it| _ = proxies[(at + 1) % 3].merge_update(it, now));
             }
         }
 
-        prop_assert_eq!(proxies[0].tell(now), proxies[1].tell(now));
+        prop_assert_eq!(proxies[0].updates(now), proxies[1].updates(now));
         prop_assert_eq!(proxies[1].digest(), proxies[2].digest());
     }
 }
@@ -216,5 +216,5 @@
     let bytes = rmp_serde::to_vec(&earlier).expect("messages can be coded");
     let reserve: Reserve = rmp_serde::from_slice(&bytes).expect("it is understood");
 
-    assert_eq!((&*reserve.route, reserve.case, reserve.released), ("read", Case::default(), false));
+    assert_eq!((&*reserve.route, reserve.case, reserve.released), ("read", CrashRecord::default(), false));
 }
