--- a/src/decide/slot_time.rs
+++ b/src/decide/slot_time.rs
@@ -9,7 +9,7 @@
 
 /// What a slot's time was spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum SlotUse {
     /// Work that the endpoint answered well.
     Answered,
     /// Work that it failed, or whose answer was not whole.
@@ -32,7 +32,7 @@
     Idle,
 }
 
-impl Use {
+impl SlotUse {
     /// All uses, in the order of their sums.
     pub const ALL: [Self; 10] = [
         Self::Answered,
@@ -66,7 +66,7 @@
 
 /// How the slots are taken at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Occupancy {
+pub struct SlotOccupancy {
     /// All slots of the endpoint; 0 while it takes no work.
     pub slots: u32,
     /// Those that may be used now: fewer while it warms up.
@@ -78,16 +78,16 @@
     /// How far the endpoint is trusted.
     pub standing: EndpointStanding,
     /// Work waits here.
-    pub waiters: bool,
+    pub has_waiters: bool,
 }
 
-impl Occupancy {
+impl SlotOccupancy {
     /// What the free slots are.
-    fn free_use(&self) -> Use {
-        match (self.standing, self.waiters) {
-            (EndpointStanding::Suspect | EndpointStanding::Declining, _) => Use::Distrusted,
-            (EndpointStanding::Clean, true) => Use::Blocked,
-            (EndpointStanding::Clean, false) => Use::Idle,
+    fn free_use(&self) -> SlotUse {
+        match (self.standing, self.has_waiters) {
+            (EndpointStanding::Suspect | EndpointStanding::Declining, _) => SlotUse::Distrusted,
+            (EndpointStanding::Clean, true) => SlotUse::Blocked,
+            (EndpointStanding::Clean, false) => SlotUse::Idle,
         }
     }
 }
@@ -96,38 +96,38 @@
 #[derive(Debug, Clone, Default)]
 pub struct SlotTime {
     /// As of the last step.
-    occupancy: Occupancy,
+    occupancy: SlotOccupancy,
     /// The time of the last step; `None` before the first.
     at: Option<Instant>,
     /// By [`Use::ALL`].
-    sums: [Duration; Use::ALL.len()],
+    sums: [Duration; SlotUse::ALL.len()],
 }
 
 impl SlotTime {
     /// Adds the time since the last step, and goes on with `next`.
-    pub fn step(&mut self, next: Occupancy, now: Instant) {
+    pub fn advance(&mut self, next: SlotOccupancy, now: Instant) {
         let past = self.at.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
-        let Occupancy { slots, usable, offered, working, .. } = self.occupancy;
+        let SlotOccupancy { slots, usable, offered, working, .. } = self.occupancy;
         let taken = offered + working;
         let free = usable.saturating_sub(taken);
-        self.add(Use::Offered, past * offered);
+        self.add(SlotUse::Offered, past * offered);
         self.add(self.occupancy.free_use(), past * free);
-        self.add(Use::Cold, past * slots.saturating_sub(usable.max(taken)));
+        self.add(SlotUse::Cold, past * slots.saturating_sub(usable.max(taken)));
         self.occupancy = next;
         self.at = Some(now);
     }
 
     /// Adds work that has ended.
-    pub fn worked(&mut self, on: Use, took: Duration) {
+    pub fn add_work(&mut self, on: SlotUse, took: Duration) {
         self.add(on, took);
     }
 
     /// The sum of one use.
-    pub fn sum(&self, of: Use) -> Duration {
+    pub fn total(&self, of: SlotUse) -> Duration {
         self.sums[of as usize]
     }
 
-    fn add(&mut self, on: Use, time: Duration) {
+    fn add(&mut self, on: SlotUse, time: Duration) {
         self.sums[on as usize] += time;
     }
 }
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -24,7 +24,7 @@
         origin::OriginTracker,
         pace::Pace,
         quarantine::Quarantine,
-        slot_time::{Occupancy, SlotTime, Use},
+        slot_time::{SlotOccupancy, SlotTime, SlotUse},
         suspicion::{EndpointStanding, StandingTracker},
         wait_queue::{WaitQueue, WaiterId},
     },
@@ -172,15 +172,15 @@
     /// Accounts for the slots until now; to be called whenever they may be taken otherwise than before.
     fn account(&mut self, now: Instant) {
         let working = count(self.ledger.running().count());
-        let next = self.serving().map_or_else(Occupancy::default, |it| Occupancy {
+        let next = self.serving().map_or_else(SlotOccupancy::default, |it| SlotOccupancy {
             slots: it.announced.slots,
             usable: it.usable_slots(now),
             offered: count(self.ledger.len()) - working,
             working,
             standing: it.record.standing(),
-            waiters: !self.queue.is_empty(),
+            has_waiters: !self.queue.is_empty(),
         });
-        self.slot_time.step(next, now);
+        self.slot_time.advance(next, now);
     }
 }
 
@@ -273,8 +273,8 @@
     pub fn slot_ms(&self) -> Vec<(&'static str, u64)> {
         let mut state = self.state.borrow_mut();
         state.account(clock::now());
-        let millis = |it: Use| u64::try_from(state.slot_time.sum(it).as_millis()).unwrap_or(u64::MAX);
-        Use::ALL.iter().map(|it| (it.name(), millis(*it))).collect()
+        let millis = |it: SlotUse| u64::try_from(state.slot_time.total(it).as_millis()).unwrap_or(u64::MAX);
+        SlotUse::ALL.iter().map(|it| (it.name(), millis(*it))).collect()
     }
 
     /// Whether no endpoint is known.
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -14,7 +14,7 @@
 use crate::{
     decide::{
         incarnation::EndpointId,
-        slot_time::Use,
+        slot_time::SlotUse,
         suspicion::{self, AnswerSample},
     },
     proxy::{
@@ -198,8 +198,8 @@
         let on = use_of(&end);
         let Some(given) = state.ledger.end(grant, end, now) else { return };
         if let Some(it) = &given.running {
-            let on = if it.explained { Use::CallFailed } else { on };
-            state.slot_time.worked(on, now.saturating_duration_since(it.begun));
+            let on = if it.explained { SlotUse::CallFailed } else { on };
+            state.slot_time.add_work(on, now.saturating_duration_since(it.begun));
         }
         if unused {
             state.allowance.refund(given.purpose.repeat_share);
@@ -237,12 +237,14 @@
 }
 
 /// What the time of work with this end was spent on.
-fn use_of(end: &RunEnd) -> Use {
+fn use_of(end: &RunEnd) -> SlotUse {
     match end {
-        RunEnd::Answered { status, .. } if *status < 500 => Use::Answered,
-        RunEnd::Answered { .. } | RunEnd::Unknown(Unknown::Broken | Unknown::Ended | Unknown::Garbled) => Use::Failed,
-        RunEnd::NotRun(_) => Use::Declined,
-        RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) => Use::Abandoned,
+        RunEnd::Answered { status, .. } if *status < 500 => SlotUse::Answered,
+        RunEnd::Answered { .. } | RunEnd::Unknown(Unknown::Broken | Unknown::Ended | Unknown::Garbled) => {
+            SlotUse::Failed
+        }
+        RunEnd::NotRun(_) => SlotUse::Declined,
+        RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) => SlotUse::Abandoned,
     }
 }
 
--- a/tests/slot_time.rs
+++ b/tests/slot_time.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jayreach::decide::{
-    slot_time::{Occupancy, SlotTime, Use},
+    slot_time::{SlotOccupancy, SlotTime, SlotUse},
     suspicion::EndpointStanding,
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -20,7 +20,7 @@
     let start = Instant::now();
     let (mut now, mut account) = (start, SlotTime::default());
     let mut works: Vec<Instant> = Vec::new();
-    account.step(Occupancy { slots: SLOTS, usable: SLOTS, ..Occupancy::default() }, now);
+    account.advance(SlotOccupancy { slots: SLOTS, usable: SLOTS, ..SlotOccupancy::default() }, now);
 
     for _ in 0..2_000 {
         now += Duration::from_millis(rng.random_range(0..50));
@@ -28,33 +28,35 @@
         if rng.random_bool(0.5) && works.len() < 4 {
             works.push(now);
         } else if let Some(begun) = works.pop() {
-            account.worked(Use::ALL[rng.random_range(0..5)], now - begun);
+            account.add_work(SlotUse::ALL[rng.random_range(0..5)], now - begun);
         }
         let working = u32::try_from(works.len()).expect("few");
         let offered = rng.random_range(0..=SLOTS - working);
         let standing = if rng.random_bool(0.3) { EndpointStanding::Suspect } else { EndpointStanding::Clean };
-        account
-            .step(Occupancy { slots: SLOTS, usable, offered, working, standing, waiters: rng.random_bool(0.5) }, now);
+        account.advance(
+            SlotOccupancy { slots: SLOTS, usable, offered, working, standing, has_waiters: rng.random_bool(0.5) },
+            now,
+        );
     }
 
     let under_way: Duration = works.iter().map(|it| now - *it).sum();
-    let sum: Duration = Use::ALL.iter().map(|it| account.sum(*it)).sum();
+    let sum: Duration = SlotUse::ALL.iter().map(|it| account.total(*it)).sum();
     assert_eq!(sum + under_way, (now - start) * SLOTS);
 }
 
 #[rstest]
-#[case::nothing_waits(EndpointStanding::Clean, false, Use::Idle)]
-#[case::work_waits(EndpointStanding::Clean, true, Use::Blocked)]
-#[case::it_failed(EndpointStanding::Suspect, true, Use::Distrusted)]
-#[case::it_declined(EndpointStanding::Declining, false, Use::Distrusted)]
-fn a_free_slot_has_its_reason(#[case] standing: EndpointStanding, #[case] waiters: bool, #[case] wanted: Use) {
+#[case::nothing_waits(EndpointStanding::Clean, false, SlotUse::Idle)]
+#[case::work_waits(EndpointStanding::Clean, true, SlotUse::Blocked)]
+#[case::it_failed(EndpointStanding::Suspect, true, SlotUse::Distrusted)]
+#[case::it_declined(EndpointStanding::Declining, false, SlotUse::Distrusted)]
+fn a_free_slot_has_its_reason(#[case] standing: EndpointStanding, #[case] has_waiters: bool, #[case] wanted: SlotUse) {
     let start = Instant::now();
     let mut account = SlotTime::default();
-    let occupancy = Occupancy { slots: SLOTS, usable: SLOTS, offered: 1, working: 1, standing, waiters };
+    let occupancy = SlotOccupancy { slots: SLOTS, usable: SLOTS, offered: 1, working: 1, standing, has_waiters };
 
-    account.step(occupancy, start);
-    account.step(occupancy, start + Duration::from_secs(2));
+    account.advance(occupancy, start);
+    account.advance(occupancy, start + Duration::from_secs(2));
 
-    assert_eq!(account.sum(wanted), Duration::from_secs(6));
-    assert_eq!(account.sum(Use::Offered), Duration::from_secs(2));
+    assert_eq!(account.total(wanted), Duration::from_secs(6));
+    assert_eq!(account.total(SlotUse::Offered), Duration::from_secs(2));
 }
