--- a/src/decide/stopping.rs
+++ b/src/decide/shutdown.rs
@@ -27,13 +27,13 @@
 /// this proxy, so until then it takes what is sure to end in time.
 const ENDS_PART: f64 = 0.8;
 
-static CHART: LazyLock<Chart<Stage, Event>> =
+static CHART: LazyLock<Chart<ShutdownStage, Event>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/stopping.toml")));
 
 /// How far the stop is (charts/stopping.toml).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stage {
+pub enum ShutdownStage {
     /// No stop was asked for.
     Serving,
     /// Callers are sent elsewhere; work that is sure to end in time is still taken.
@@ -55,15 +55,15 @@
 
 /// A stop that is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stop {
-    stage: Stage,
+pub struct Shutdown {
+    stage: ShutdownStage,
     began: Instant,
     grace: Duration,
     /// When the platform ends the process.
     killed: Instant,
 }
 
-impl Stop {
+impl Shutdown {
     /// The stop that begins with the first SIGTERM.
     pub fn new(now: Instant, grace: Duration) -> Self {
         let mut stop = Self { stage: CHART.initial, began: now, grace, killed: now + grace };
@@ -72,36 +72,38 @@
     }
 
     /// Another SIGTERM: the platform grants the whole grace anew. When work is no longer taken stays as it was.
-    pub fn again(&mut self, now: Instant) {
+    pub fn extend_grace(&mut self, now: Instant) {
         self.killed = now + self.grace;
     }
 
     /// How far the stop is.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> ShutdownStage {
         self.stage
     }
 
     /// When all requests must have their answers.
-    pub fn last_call(&self) -> Instant {
+    pub fn answer_deadline(&self) -> Instant {
         self.killed - LAST.min(self.grace)
     }
 
     /// When the endpoint's work must have ended that is taken during the stop.
-    pub fn endpoint_ends(&self) -> Instant {
+    pub fn work_deadline(&self) -> Instant {
         self.began + self.grace.mul_f64(ENDS_PART)
     }
 
     /// Looks whether a stage is over; `busy` while requests or runs are under way. At most one stage ends in one look,
     /// so that whoever acts on [`Stage::Finishing`] does so before idleness counts.
-    pub fn look(&mut self, now: Instant, busy: bool) -> Stage {
+    pub fn advance(&mut self, now: Instant, busy: bool) -> ShutdownStage {
         let idle = !busy && now >= self.began + LINGER;
         let event = match self.stage {
-            _ if now >= self.last_call() + LAST_ANSWERS => Some(Event::OutOfTime),
-            Stage::HandingOver if idle || now >= self.began + self.grace.mul_f64(TAKES_PART) => {
+            _ if now >= self.answer_deadline() + LAST_ANSWERS => Some(Event::OutOfTime),
+            ShutdownStage::HandingOver if idle || now >= self.began + self.grace.mul_f64(TAKES_PART) => {
                 Some(Event::HandOverEnds)
             }
-            Stage::Finishing if idle => Some(Event::Idle),
-            Stage::Serving | Stage::HandingOver | Stage::Finishing | Stage::Done => None,
+            ShutdownStage::Finishing if idle => Some(Event::Idle),
+            ShutdownStage::Serving | ShutdownStage::HandingOver | ShutdownStage::Finishing | ShutdownStage::Done => {
+                None
+            }
         };
         if let Some(it) = event {
             self.take(it);
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -100,7 +100,7 @@
     /// Until when waiting for a place makes sense.
     fn patience(&self, job: &Job) -> Instant {
         let route = job.route();
-        let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.last_call()));
+        let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.answer_deadline()));
         let terms = Terms { arrived: job.arrived, goal: route.goal, give_up, call: job.is_call() };
         begin_by(terms, self.ingress.borrow().pace.mean(&route.name))
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -45,7 +45,7 @@
 use crate::{
     decide::{
         allowance::Terms,
-        stopping::{Stage, Stop},
+        shutdown::{Shutdown, ShutdownStage},
         watchers::Substitution,
     },
     error::Error,
@@ -104,7 +104,7 @@
     /// Requests of callers that have no answer yet.
     requests: Cell<usize>,
     /// Set by SIGTERM.
-    stop: Cell<Option<Stop>>,
+    stop: Cell<Option<Shutdown>>,
     /// `stop` was set.
     stops: Notify,
     metrics: PrometheusHandle,
@@ -221,7 +221,7 @@
 
     /// Whether new requests are refused at once: what begins now could not be finished.
     fn takes_no_more(&self) -> bool {
-        self.stop.get().is_some_and(|it| it.stage() != Stage::HandingOver)
+        self.stop.get().is_some_and(|it| it.stage() != ShutdownStage::HandingOver)
     }
 
     /// Whether callers should come here.
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    decide::stopping::{Stage, Stop},
+    decide::shutdown::{Shutdown, ShutdownStage},
     proxy::{Proxy, clock, events::Event, settings::Settings},
 };
 
@@ -69,16 +69,16 @@
     }
 
     async fn finish(self: &Rc<Self>) {
-        let stop = Stop::new(clock::now(), self.settings.borrow().grace);
+        let stop = Shutdown::new(clock::now(), self.settings.borrow().grace);
         self.stop.set(Some(stop));
         self.stops.notify_waiters();
         self.tell_stopping("SIGTERM");
         let removal = self.leave_fleet();
         let hand_over = async {
-            self.guard.stop_soon(stop.endpoint_ends());
-            self.until(Stage::Finishing).await;
+            self.guard.stop_soon(stop.work_deadline());
+            self.until(ShutdownStage::Finishing).await;
             self.guard.stop();
-            self.until(Stage::Done).await;
+            self.until(ShutdownStage::Done).await;
         };
         tokio::join!(removal, hand_over);
         self.tell_stopping("done");
@@ -101,7 +101,7 @@
     /// Another SIGTERM came.
     fn stop_again(&self) {
         if let Some(mut it) = self.stop.get() {
-            it.again(clock::now());
+            it.extend_grace(clock::now());
             self.stop.set(Some(it));
         }
         self.tell_stopping("SIGTERM again");
@@ -121,17 +121,18 @@
         while self.stop.get().is_none() {
             self.stops.notified().await;
         }
-        while let Some(left) = self.stop.get().and_then(|it| it.last_call().checked_duration_since(clock::now())) {
+        while let Some(left) = self.stop.get().and_then(|it| it.answer_deadline().checked_duration_since(clock::now()))
+        {
             sleep(left.max(Duration::from_millis(1))).await;
         }
     }
 
     /// Waits until the stop has come to `stage`, or to its end.
-    async fn until(&self, stage: Stage) {
+    async fn until(&self, stage: ShutdownStage) {
         while let Some(mut stop) = self.stop.get() {
-            let now = stop.look(clock::now(), self.under_way() > 0);
+            let now = stop.advance(clock::now(), self.under_way() > 0);
             self.stop.set(Some(stop));
-            if now == stage || now == Stage::Done {
+            if now == stage || now == ShutdownStage::Done {
                 return;
             }
             sleep(LOOK_EVERY).await;
