--- a/src/decide/subset.rs
+++ b/src/decide/subset.rs
@@ -16,21 +16,21 @@
 
 /// A proxy that may be chosen for the endpoint it guards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Member<'a> {
+pub struct PeerCandidate<'a> {
     /// The hash of its name.
     pub key: u64,
     /// The service of its VM.
     pub service: &'a str,
     /// Whether it is in the chooser's data centre.
-    pub near: bool,
+    pub same_data_centre: bool,
     /// Whether it can be reached, as far as known. One that can't stays chosen, and is tried, beside the next.
     pub reachable: bool,
 }
 
 /// The places in `members` of those that `me` keeps connections to, sorted.
-pub fn choose(me: u64, members: &[Member<'_>]) -> Vec<usize> {
+pub fn choose_peers(me: u64, members: &[PeerCandidate<'_>]) -> Vec<usize> {
     let mut ranked: Vec<(&str, bool, u64, usize)> =
-        members.iter().enumerate().map(|(at, it)| (it.service, !it.near, mix(&[me, it.key]), at)).collect();
+        members.iter().enumerate().map(|(at, it)| (it.service, !it.same_data_centre, mix(&[me, it.key]), at)).collect();
     ranked.sort_unstable();
     let mut chosen = Vec::new();
     for of_service in ranked.chunk_by(|a, b| a.0 == b.0) {
@@ -47,7 +47,12 @@
 }
 
 /// Chooses from the first of `ranked` on until `wanted` of them can be reached; returns how many that are.
-fn take(members: &[Member<'_>], ranked: &[(&str, bool, u64, usize)], wanted: usize, chosen: &mut Vec<usize>) -> usize {
+fn take(
+    members: &[PeerCandidate<'_>],
+    ranked: &[(&str, bool, u64, usize)],
+    wanted: usize,
+    chosen: &mut Vec<usize>,
+) -> usize {
     let mut found = 0;
     for (.., at) in ranked {
         if found == wanted {
--- a/src/proxy/links.rs
+++ b/src/proxy/links.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    decide::subset::{self, Member},
+    decide::subset::{self, PeerCandidate},
     proxy::{
         Proxy, clock,
         directory::{ProxyName, Row},
@@ -134,16 +134,16 @@
         let needs = self.needs.borrow();
         let rows: Vec<_> = directory.members().filter(|it| all || needs.has(&it.1.endpoints.service)).collect();
         let own = directory.own();
-        let members: Vec<Member<'_>> = rows
+        let members: Vec<PeerCandidate<'_>> = rows
             .iter()
-            .map(|(key, row)| Member {
+            .map(|(key, row)| PeerCandidate {
                 key: *key,
                 service: &row.endpoints.service,
-                near: row.data_centre == own.data_centre,
+                same_data_centre: row.data_centre == own.data_centre,
                 reachable: self.link(&row.daemon).is_none_or(|it| it.is_reachable(now)),
             })
             .collect();
-        let chosen = subset::choose(directory.own_key(), &members);
+        let chosen = subset::choose_peers(directory.own_key(), &members);
         let mut chosen: Vec<Arc<Row>> = chosen.into_iter().map(|at| Arc::clone(rows[at].1)).collect();
         chosen.sort_unstable_by(|a, b| a.daemon.cmp(&b.daemon));
         chosen
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -4,7 +4,7 @@
 
 use jayreach::{
     decide::{
-        subset::{Member, choose},
+        subset::{PeerCandidate, choose_peers},
         watchers::{Substitution, Watch, rank, watches, watches_first},
     },
     util::mix,
@@ -33,16 +33,16 @@
 /// The keys of those that `me` links to, of those that `reachable` says.
 fn chosen(me: Vm, fleet: &[Vm], reachable: impl Fn(Vm) -> bool) -> Vec<u64> {
     let others: Vec<Vm> = fleet.iter().copied().filter(|it| it.key != me.key).collect();
-    let members: Vec<Member<'_>> = others
+    let members: Vec<PeerCandidate<'_>> = others
         .iter()
-        .map(|it| Member {
+        .map(|it| PeerCandidate {
             key: it.key,
             service: it.service,
-            near: it.data_centre == me.data_centre,
+            same_data_centre: it.data_centre == me.data_centre,
             reachable: reachable(*it),
         })
         .collect();
-    let mut keys: Vec<u64> = choose(me.key, &members).into_iter().map(|at| others[at].key).collect();
+    let mut keys: Vec<u64> = choose_peers(me.key, &members).into_iter().map(|at| others[at].key).collect();
     keys.sort_unstable();
     keys
 }
