--- a/src/decide/watchers.rs
+++ b/src/decide/watchers.rs
@@ -38,37 +38,37 @@
 
 /// One wait at the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Watch {
+pub struct StoreWatch {
     /// How long the store is asked to wait for a change.
     pub wait: Duration,
     /// When its connection is held to be silent.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
-impl Watch {
+impl StoreWatch {
     /// A watch of a length by `luck`, from 0 to 1. After a change all take up their watches at the same moment; lengths that
     /// differ spread them out, so that soon after all connections went silent one of them is opened anew.
-    pub fn by_luck(luck: f64) -> Self {
+    pub fn with_jitter(luck: f64) -> Self {
         let wait = SHORTEST_WAIT + (LONGEST_WAIT - SHORTEST_WAIT).mul_f64(luck);
-        Self { wait, limit: wait + LATE }
+        Self { wait, timeout: wait + LATE }
     }
 }
 
 /// What a watcher without the store, and its substitute, keep of that.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Substitution {
+pub struct WatchSubstitution {
     /// When this proxy asked for a substitute last.
     asked: Option<Instant>,
     /// It watches in the place of another until then.
     until: Option<Instant>,
 }
 
-impl Substitution {
+impl WatchSubstitution {
     /// Whether to ask another proxy to watch, now that the store gives this one no answer. One that is a substitute
     /// itself doesn't: where the store fails everybody, the whole fleet would come to ask it.
-    pub fn asks(&mut self, now: Instant) -> bool {
+    pub fn should_request_substitute(&mut self, now: Instant) -> bool {
         let asked_lately = self.asked.is_some_and(|it| now.saturating_duration_since(it) < ASKS_AGAIN);
-        if self.substitutes(now) || asked_lately {
+        if self.is_substitute(now) || asked_lately {
             return false;
         }
         self.asked = Some(now);
@@ -76,35 +76,35 @@
     }
 
     /// The store answers: the next loss of it is news.
-    pub fn answered(&mut self) {
+    pub fn store_answered(&mut self) {
         self.asked = None;
     }
 
     /// This proxy is asked to be the substitute of another.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn start_substituting(&mut self, now: Instant) {
         self.until = Some(now + SUBSTITUTES_FOR);
     }
 
     /// Whether this proxy watches in the place of another.
-    pub fn substitutes(&self, now: Instant) -> bool {
+    pub fn is_substitute(&self, now: Instant) -> bool {
         self.until.is_some_and(|it| now < it)
     }
 }
 
 /// The place of `me` among the members of a data centre, itself not among them, by a hash of their keys.
-pub fn rank(me: u64, others: impl Iterator<Item = u64>) -> usize {
+pub fn watch_rank(me: u64, others: impl Iterator<Item = u64>) -> usize {
     let score = |key: u64| (mix(&[key]), key);
     let mine = score(me);
     others.filter(|it| score(*it) < mine).count()
 }
 
 /// Whether the member with that place in one of `data_centres` watches, if the newest confirmation anyone had is that old.
-pub fn watches(rank: usize, data_centres: usize, confirmed_ago: Duration) -> bool {
+pub fn is_watcher(rank: usize, data_centres: usize, confirmed_ago: Duration) -> bool {
     is_turn(rank, data_centres, confirmed_ago, SILENCE)
 }
 
 /// Whether the member with that place watches, if it has had no confirmation since its start.
-pub fn watches_first(rank: usize, data_centres: usize, started_ago: Duration) -> bool {
+pub fn is_initial_watcher(rank: usize, data_centres: usize, started_ago: Duration) -> bool {
     is_turn(rank, data_centres, started_ago, FIRST)
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    decide::watchers::Watch,
+    decide::watchers::StoreWatch,
     platform::config::{ParsedConfig, parse_config},
     proxy::{self, CallError},
 };
@@ -195,9 +195,9 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn watch_config(&self, from: Position, watch: Watch) -> Result<WatchEnd, StoreFailure> {
+    pub async fn watch_config(&self, from: Position, watch: StoreWatch) -> Result<WatchEnd, StoreFailure> {
         let path = format!("/objects/{CONFIG_KIND}?watch={}&wait_ms={}", from.revision, watch.wait.as_millis());
-        let (status, body) = self.call(Method::GET, &path, Bytes::new(), watch.limit).await?;
+        let (status, body) = self.call(Method::GET, &path, Bytes::new(), watch.timeout).await?;
         if from.era != self.era.get().unwrap_or_default() {
             return Ok(WatchEnd::HistoryGone);
         }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -46,7 +46,7 @@
     decide::{
         allowance::Terms,
         shutdown::{Shutdown, ShutdownStage},
-        watchers::Substitution,
+        watchers::WatchSubstitution,
     },
     error::Error,
     platform::{ConfigFinding, ParsedConfig, Store},
@@ -89,7 +89,7 @@
     watching: Cell<bool>,
     /// The store gave the last watch, or the read before it, no answer.
     store_silent: Cell<bool>,
-    substitution: Cell<Substitution>,
+    substitution: Cell<WatchSubstitution>,
     directory: RefCell<Directory>,
     /// Some row changed, or a proxy joined or left.
     members_changed: Notify,
--- a/src/proxy/watch.rs
+++ b/src/proxy/watch.rs
@@ -9,7 +9,7 @@
 use tokio::{task::spawn_local, time::sleep};
 
 use crate::{
-    decide::watchers::{self, Watch},
+    decide::watchers::{self, StoreWatch},
     platform::{ConfigObject, Consistency, Position, WatchEnd},
     proxy::{Proxy, backoff::Backoff, clock, events::Event, message::path, peer::Link},
 };
@@ -58,17 +58,17 @@
 
     /// Whether it is this proxy's turn to watch the store, or it does so in another's place.
     fn watches(&self, start: Instant) -> bool {
-        if self.substitution.get().substitutes(clock::now()) {
+        if self.substitution.get().is_substitute(clock::now()) {
             return true;
         }
         let mut directory = self.directory.borrow_mut();
         let data_centres = directory.data_centres();
         let data_centre = &directory.own().data_centre;
         let near = directory.members().filter(|it| it.1.data_centre == *data_centre).map(|it| it.0);
-        let rank = watchers::rank(directory.own_key(), near);
+        let rank = watchers::watch_rank(directory.own_key(), near);
         match self.confirmed_ago() {
-            Some(it) => watchers::watches(rank, data_centres, it),
-            None => watchers::watches_first(rank, data_centres, clock::now().saturating_duration_since(start)),
+            Some(it) => watchers::is_watcher(rank, data_centres, it),
+            None => watchers::is_initial_watcher(rank, data_centres, clock::now().saturating_duration_since(start)),
         }
     }
 
@@ -106,7 +106,7 @@
             let mut position = self.take_config(object);
             self.confirm(clock::now().saturating_duration_since(asked));
             while self.watches(start) {
-                let watch = Watch::by_luck(rand::rng().random());
+                let watch = StoreWatch::with_jitter(rand::rng().random());
                 match self.store.watch_config(position, watch).await {
                     Ok(WatchEnd::Went(object)) => {
                         backoff.answered();
@@ -134,7 +134,7 @@
     fn regained_store(&self) {
         self.store_silent.set(false);
         let mut substitution = self.substitution.get();
-        substitution.answered();
+        substitution.store_answered();
         self.substitution.set(substitution);
     }
 
@@ -143,7 +143,7 @@
     fn lost_store(self: &Rc<Self>) {
         self.store_silent.set(true);
         let mut substitution = self.substitution.get();
-        if substitution.asks(clock::now()) {
+        if substitution.should_request_substitute(clock::now()) {
             spawn_local(Rc::clone(self).ask_for_substitute());
         }
         self.substitution.set(substitution);
@@ -167,7 +167,7 @@
             return !self.store_silent.get();
         }
         let mut substitution = self.substitution.get();
-        substitution.begin(clock::now());
+        substitution.start_substituting(clock::now());
         self.substitution.set(substitution);
         true
     }
--- a/tests/store_listing.rs
+++ b/tests/store_listing.rs
@@ -7,7 +7,7 @@
 };
 
 use jayreach::{
-    decide::watchers::Watch,
+    decide::watchers::StoreWatch,
     platform::{Consistency, Listing, Position, PresenceObject, Store, WatchEnd},
 };
 use tokio::task::LocalSet;
@@ -86,7 +86,7 @@
             {\"object\":{\"metadata\":{\"name\":\"main\"},\"spec\":{\"version\":\"zz\"}},\"is_deleted\":false}],\"at_rev\":11}",
     );
 
-    let end = run(store.watch_config(Position { revision: 9, era: 0 }, Watch::by_luck(0.0))).expect("events");
+    let end = run(store.watch_config(Position { revision: 9, era: 0 }, StoreWatch::with_jitter(0.0))).expect("events");
 
     let WatchEnd::Went(object) = end else { panic!("the history is there") };
     assert_eq!((object.position.revision, object.config.map(|it| it.is_err())), (11, Some(true)));
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -5,7 +5,7 @@
 use jayreach::{
     decide::{
         subset::{PeerCandidate, choose_peers},
-        watchers::{Substitution, Watch, rank, watches, watches_first},
+        watchers::{StoreWatch, WatchSubstitution, is_initial_watcher, is_watcher, watch_rank},
     },
     util::mix,
 };
@@ -130,7 +130,10 @@
 fn watchers(fleet: &[Vm], confirmed_ago: Duration) -> usize {
     let data_centres = (0..5).filter(|it| fleet.iter().any(|vm| vm.data_centre == *it)).count();
     let near = |me: Vm| fleet.iter().filter(move |it| it.key != me.key && it.data_centre == me.data_centre);
-    fleet.iter().filter(|me| watches(rank(me.key, near(**me).map(|it| it.key)), data_centres, confirmed_ago)).count()
+    fleet
+        .iter()
+        .filter(|me| is_watcher(watch_rank(me.key, near(**me).map(|it| it.key)), data_centres, confirmed_ago))
+        .count()
 }
 
 #[rstest]
@@ -154,9 +157,9 @@
 
 #[test]
 fn a_proxy_without_a_configuration_waits_for_the_watchers_before_it_asks_the_store() {
-    let wait = (0..200u64).map(Duration::from_millis).map(|it| it * 100).find(|it| watches_first(40, 5, *it));
+    let wait = (0..200u64).map(Duration::from_millis).map(|it| it * 100).find(|it| is_initial_watcher(40, 5, *it));
 
-    assert!(watches_first(0, 5, Duration::ZERO));
+    assert!(is_initial_watcher(0, 5, Duration::ZERO));
     assert_eq!(wait, Some(Duration::from_millis(6_800)));
 }
 
@@ -191,16 +194,16 @@
 fn a_silent_connection_is_noticed_in_time_for_a_change(#[case] luck: f64) {
     let longest_pause_before_the_next_call = Duration::from_millis(300);
 
-    let watch = Watch::by_luck(luck);
+    let watch = StoreWatch::with_jitter(luck);
 
-    assert!(watch.wait < watch.limit);
-    assert!(watch.limit + longest_pause_before_the_next_call < Duration::from_secs(3), "{watch:?}");
+    assert!(watch.wait < watch.timeout);
+    assert!(watch.timeout + longest_pause_before_the_next_call < Duration::from_secs(3), "{watch:?}");
 }
 
 #[test]
 fn watches_that_begin_together_do_not_end_together() {
-    assert!(Watch::by_luck(0.0).wait < Watch::by_luck(0.5).wait);
-    assert!(Watch::by_luck(0.5).wait < Watch::by_luck(1.0).wait);
+    assert!(StoreWatch::with_jitter(0.0).wait < StoreWatch::with_jitter(0.5).wait);
+    assert!(StoreWatch::with_jitter(0.5).wait < StoreWatch::with_jitter(1.0).wait);
 }
 
 /// A watcher without the store asks again while that lasts; a substitute asks nobody, or the whole fleet would watch a store
@@ -209,15 +212,15 @@
 fn a_watcher_without_the_store_asks_for_a_substitute_and_a_substitute_does_not() {
     let start = Instant::now();
     let second = Duration::from_secs(1);
-    let mut watcher = Substitution::default();
-    let mut substitute = Substitution::default();
+    let mut watcher = WatchSubstitution::default();
+    let mut substitute = WatchSubstitution::default();
 
-    let asked: Vec<bool> = (0..7).map(|it| watcher.asks(start + it * second)).collect();
-    substitute.begin(start);
+    let asked: Vec<bool> = (0..7).map(|it| watcher.should_request_substitute(start + it * second)).collect();
+    substitute.start_substituting(start);
 
     assert_eq!(asked, [true, false, false, false, false, true, false]);
-    assert!(!substitute.asks(start + second) && substitute.substitutes(start + second));
-    assert!(!substitute.substitutes(start + 10 * second), "no longer than needed");
-    watcher.answered();
-    assert!(watcher.asks(start + 7 * second), "the next loss is news");
+    assert!(!substitute.should_request_substitute(start + second) && substitute.is_substitute(start + second));
+    assert!(!substitute.is_substitute(start + 10 * second), "no longer than needed");
+    watcher.store_answered();
+    assert!(watcher.should_request_substitute(start + 7 * second), "the next loss is news");
 }
