--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -135,7 +135,7 @@
 
 impl Quarantine {
     /// What is known against a request.
-    pub fn record(&self, fingerprint: Fingerprint) -> CrashRecord {
+    pub fn crash_record(&self, fingerprint: Fingerprint) -> CrashRecord {
         self.find(fingerprint).map_or_else(|_| CrashRecord::default(), |at| self.entries[at].record)
     }
 
@@ -149,7 +149,7 @@
     /// An endpoint ended under this work, each piece with what was known against it when it began. Returns of which
     /// requests that is news.
     pub fn record_crash(&mut self, work: &[(Fingerprint, CrashRecord)], now: Instant) -> Vec<Fingerprint> {
-        let suspect = |it: &&(Fingerprint, CrashRecord)| self.record(it.0).is_suspect();
+        let suspect = |it: &&(Fingerprint, CrashRecord)| self.crash_record(it.0).is_suspect();
         let suspects: Vec<Fingerprint> = work.iter().filter(suspect).map(|it| it.0).collect();
         let mut news = Vec::new();
         for (fingerprint, known) in work {
@@ -163,7 +163,7 @@
 
     /// An endpoint answered the request well. Returns whether that is news.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        let record = self.record(fingerprint);
+        let record = self.crash_record(fingerprint);
         record.is_suspect() && self.merge(fingerprint, record.after_good_answer(), now)
     }
 
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -80,7 +80,7 @@
         if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
             return Err(Refusal::Elsewhere);
         }
-        if self.quarantine.record(req.fingerprint).is_quarantined() && !req.released {
+        if self.quarantine.crash_record(req.fingerprint).is_quarantined() && !req.released {
             return Err(Refusal::Quarantined);
         }
         self.origins.record(&req.route, req.certain_caller);
@@ -125,9 +125,9 @@
         let limit = endpoint.usable_slots(now);
         while count(ledger.len()) < limit {
             let trials = count(ledger.trials());
-            let suspect_here = ledger.purposes().any(|it| quarantine.record(it.fingerprint).is_suspect());
+            let suspect_here = ledger.purposes().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
-                let case = quarantine.record(it.fingerprint);
+                let case = quarantine.crash_record(it.fingerprint);
                 endpoint.record.admits(it.accepts, it.trial, trials, now)
                     && (it.released || !case.is_quarantined())
                     && !(case.is_suspect() && suspect_here)
@@ -163,7 +163,7 @@
         let Self { endpoint, queue, senders, allowance, quarantine, pace, ends, .. } = self;
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
-            _ if quarantine.record(it.fingerprint).is_quarantined() && !it.released => Some(Refusal::Quarantined),
+            _ if quarantine.crash_record(it.fingerprint).is_quarantined() && !it.released => Some(Refusal::Quarantined),
             None => Some(Refusal::Elsewhere),
             Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
             Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(Refusal::Suspect),
--- a/src/proxy/guard/quarantined.rs
+++ b/src/proxy/guard/quarantined.rs
@@ -43,7 +43,7 @@
 impl Guard {
     /// What is known against a request.
     pub fn case(&self, fingerprint: Fingerprint) -> CrashRecord {
-        self.state.borrow().quarantine.record(fingerprint)
+        self.state.borrow().quarantine.crash_record(fingerprint)
     }
 
     /// What is known against a request that has just come.
@@ -62,7 +62,7 @@
         let now = clock::now();
         for it in cases {
             let mut state = self.state.borrow_mut();
-            let before = state.quarantine.record(it.fingerprint).is_quarantined();
+            let before = state.quarantine.crash_record(it.fingerprint).is_quarantined();
             let is_news = state.quarantine.merge_update(it, now);
             drop(state);
             if is_news {
@@ -78,7 +78,7 @@
         let work: Vec<(Fingerprint, CrashRecord)> =
             ledger.working_at(endpoint).map(|(purpose, it)| (purpose.fingerprint, it.known)).collect();
         let before: Vec<(Fingerprint, bool)> =
-            work.iter().map(|it| (it.0, quarantine.record(it.0).is_quarantined())).collect();
+            work.iter().map(|it| (it.0, quarantine.crash_record(it.0).is_quarantined())).collect();
         let news = quarantine.record_crash(&work, clock::now());
         drop(state);
         for (fingerprint, held) in before.into_iter().filter(|it| news.contains(&it.0)) {
@@ -97,7 +97,7 @@
             fingerprint,
             ran_ms: ran.as_millis(),
             running: state.ledger.working_at(&grant.endpoint).count(),
-            evidence: state.quarantine.record(fingerprint).evidence(),
+            evidence: state.quarantine.crash_record(fingerprint).evidence(),
         });
         metrics::counter!("jayreach_endpoint_ended_under_work_total").increment(1);
     }
@@ -105,7 +105,7 @@
     /// The endpoint answered a request well.
     pub(super) fn answered_well(self: &Rc<Self>, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
-        let before = state.quarantine.record(fingerprint).is_quarantined();
+        let before = state.quarantine.crash_record(fingerprint).is_quarantined();
         let is_news = state.quarantine.record_success(fingerprint, clock::now());
         drop(state);
         if is_news {
@@ -160,7 +160,7 @@
         if matches!(source, Source::Ended | Source::Answered) {
             state.quarantine_found.push(fingerprint);
         }
-        let case = state.quarantine.record(fingerprint);
+        let case = state.quarantine.crash_record(fingerprint);
         let (suspects, quarantined) = state.quarantine.counts();
         drop(state);
         metrics::gauge!("jayreach_suspect_requests").set(suspects as f64);
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -75,7 +75,7 @@
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
         let purpose = &ledger.given(run.grant.id)?.purpose;
-        let known = quarantine.record(purpose.fingerprint);
+        let known = quarantine.crash_record(purpose.fingerprint);
         if known.is_quarantined() && !purpose.released {
             return None;
         }
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -24,9 +24,9 @@
     let fingerprint = Fingerprint::of("GET", HOST, target, b"", b"");
     let mut quarantine = Quarantine::default();
     for _ in 0..2 {
-        quarantine.record_crash(&[(fingerprint, quarantine.record(fingerprint))], Instant::now());
+        quarantine.record_crash(&[(fingerprint, quarantine.crash_record(fingerprint))], Instant::now());
     }
-    QuarantineObject { fingerprint, case: quarantine.record(fingerprint), by: "vm-1".into() }
+    QuarantineObject { fingerprint, case: quarantine.crash_record(fingerprint), by: "vm-1".into() }
 }
 
 fn run<T>(work: impl Future<Output = T>) -> T {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -19,7 +19,7 @@
 
 /// An endpoint ended under these requests, all of which had begun when no more was known than now.
 fn end_under(quarantine: &mut Quarantine, requests: &[Fingerprint], now: Instant) {
-    let work: Vec<(Fingerprint, CrashRecord)> = requests.iter().map(|it| (*it, quarantine.record(*it))).collect();
+    let work: Vec<(Fingerprint, CrashRecord)> = requests.iter().map(|it| (*it, quarantine.crash_record(*it))).collect();
     quarantine.record_crash(&work, now);
 }
 
@@ -30,7 +30,10 @@
 
     end_under(&mut quarantine, &work, Instant::now());
 
-    assert!(work.iter().all(|it| quarantine.record(*it).is_suspect() && !quarantine.record(*it).is_quarantined()));
+    assert!(
+        work.iter()
+            .all(|it| quarantine.crash_record(*it).is_suspect() && !quarantine.crash_record(*it).is_quarantined())
+    );
     assert_eq!(quarantine.counts(), (3, 0));
 }
 
@@ -42,8 +45,8 @@
 
     end_under(&mut quarantine, &[crashing, later], Instant::now());
 
-    assert!(quarantine.record(crashing).is_quarantined());
-    assert!(!quarantine.record(beside).is_quarantined() && !quarantine.record(later).is_quarantined());
+    assert!(quarantine.crash_record(crashing).is_quarantined());
+    assert!(!quarantine.crash_record(beside).is_quarantined() && !quarantine.crash_record(later).is_quarantined());
 }
 
 #[test]
@@ -56,7 +59,7 @@
     assert_eq!(quarantine.counts(), (2, 0));
 
     end_under(&mut quarantine, &both[..1], Instant::now());
-    assert!(quarantine.record(both[0]).is_quarantined() && !quarantine.record(both[1]).is_quarantined());
+    assert!(quarantine.crash_record(both[0]).is_quarantined() && !quarantine.crash_record(both[1]).is_quarantined());
 }
 
 #[test]
@@ -70,7 +73,7 @@
         quarantine.record_crash(&[(page, unknown)], Instant::now());
     }
 
-    assert!(quarantine.record(page).is_suspect() && !quarantine.record(page).is_quarantined());
+    assert!(quarantine.crash_record(page).is_suspect() && !quarantine.crash_record(page).is_quarantined());
 }
 
 #[test]
@@ -78,13 +81,13 @@
     let mut quarantine = Quarantine::default();
     let page = fingerprint(1);
     end_under(&mut quarantine, &[page], Instant::now());
-    let older = quarantine.record(page);
+    let older = quarantine.crash_record(page);
 
     assert!(quarantine.record_success(page, Instant::now()));
     assert!(!quarantine.merge(page, older, Instant::now()));
     quarantine.record_crash(&[(page, older)], Instant::now());
 
-    assert!(!quarantine.record(page).is_suspect());
+    assert!(!quarantine.crash_record(page).is_suspect());
 }
 
 #[rstest]
@@ -101,7 +104,7 @@
 
     quarantine.remove_expired(now + after);
 
-    assert_eq!(quarantine.record(request).is_suspect(), known);
+    assert_eq!(quarantine.crash_record(request).is_suspect(), known);
     // Nor does it come back from a proxy that has not forgotten it yet.
     assert!(!told.iter().any(|it| quarantine.merge_update(it, now + after)));
 }
@@ -117,8 +120,11 @@
         end_under(&mut quarantine, &[fingerprint(number)], start + Duration::from_millis(number.into()));
     }
 
-    assert!(quarantine.record(held).is_quarantined());
-    assert!(quarantine.record(fingerprint(4_999)).is_suspect() && !quarantine.record(fingerprint(1)).is_suspect());
+    assert!(quarantine.crash_record(held).is_quarantined());
+    assert!(
+        quarantine.crash_record(fingerprint(4_999)).is_suspect()
+            && !quarantine.crash_record(fingerprint(1)).is_suspect()
+    );
     assert!(quarantine.counts().0 <= 2_048);
 }
 
@@ -136,13 +142,13 @@
         now += pause;
         assert_eq!(quarantine.next_trial_in(request, now), Some(Duration::ZERO));
         // It begins, and ends its endpoint.
-        let trial = quarantine.record(request).with_trial();
+        let trial = quarantine.crash_record(request).with_trial();
         quarantine.merge(request, trial, now);
         end_under(&mut quarantine, &[request], now);
     }
 
     assert_eq!(pauses, [30, 300, 3_600]);
-    assert!(quarantine.record(request).is_quarantined());
+    assert!(quarantine.crash_record(request).is_quarantined());
 }
 
 #[test]
