--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -22,7 +22,7 @@
     /// Its class.
     pub route: &'a str,
     /// The endpoint was told to stop by then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// How much of it counts as a repeat, 0 to 1.
     pub repeat_share: f64,
 }
@@ -36,7 +36,7 @@
         certain: bool,
     },
     /// With work that runs at the VM's endpoint.
-    Call {
+    NestedCall {
         /// The work that may have made it; not empty.
         parents: Vec<u64>,
         /// How likely that work is a repeat, so that its calls count as repeats where they go; 0 to 1.
@@ -88,7 +88,7 @@
 impl OriginTracker {
     /// Judges a request of this VM, of `route`, that expires at `until`, with all work that may be running here.
     pub fn classify(&mut self, route: &str, until: Instant, works: &[RunningWork<'_>]) -> RequestOrigin {
-        let may_have_made_it = |it: &&RunningWork<'_>| it.until + LATE >= until;
+        let may_have_made_it = |it: &&RunningWork<'_>| it.deadline + LATE >= until;
         let parents: Vec<&RunningWork<'_>> = works.iter().filter(may_have_made_it).collect();
         if parents.is_empty() {
             self.set_used_by_callers(route, true);
@@ -98,7 +98,7 @@
             return RequestOrigin::Caller { certain: false };
         }
         let repeats: f64 = parents.iter().map(|it| it.repeat_share).sum();
-        RequestOrigin::Call {
+        RequestOrigin::NestedCall {
             repeat_share: repeats / parents.len() as f64,
             parents: parents.into_iter().map(|it| it.id).collect(),
         }
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -29,12 +29,12 @@
         let work = |(id, route, it): (GrantId, _, &Running)| RunningWork {
             id,
             route,
-            until: it.until,
+            deadline: it.until,
             repeat_share: it.repeat_share,
         };
         let works: Vec<RunningWork<'_>> = running.chain(gone_on).map(work).collect();
         let origin = origins.classify(route, until, &works);
-        if let RequestOrigin::Call { parents, .. } = &origin {
+        if let RequestOrigin::NestedCall { parents, .. } = &origin {
             let mut routes = works.iter().filter(|it| parents.contains(&it.id)).map(|it| it.route);
             // Only where it is certain which class called.
             if let Some(caller) = routes.next().filter(|it| routes.all(|other| other == *it)) {
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -278,7 +278,7 @@
 
     /// How urgent a request is: a call is as urgent as the most urgent work that may have made it.
     fn rank(&self, config: &Config, route: &Route, origin: &RequestOrigin) -> u32 {
-        let RequestOrigin::Call { parents, .. } = origin else { return route.rank };
+        let RequestOrigin::NestedCall { parents, .. } = origin else { return route.rank };
         let parents = self.guard.routes_of(parents);
         let ranks = config.routes().iter().filter(|it| parents.contains(&it.name)).map(|it| it.rank);
         ranks.min().unwrap_or(route.rank)
@@ -317,7 +317,7 @@
         };
         let took = clock::now().saturating_duration_since(job.arrived);
         let route = job.route();
-        if let RequestOrigin::Call { parents, .. } = &job.origin
+        if let RequestOrigin::NestedCall { parents, .. } = &job.origin
             && !resp.status().is_success()
         {
             self.guard.call_failed(parents);
@@ -363,7 +363,7 @@
     }
 
     fn is_call(&self) -> bool {
-        matches!(self.origin, RequestOrigin::Call { .. })
+        matches!(self.origin, RequestOrigin::NestedCall { .. })
     }
 
     /// What the next attempt is to the allowance of its guard.
@@ -377,7 +377,7 @@
     /// How much of the request counts as a repeat where it goes, 0 to 1.
     fn repeat_share(&self) -> f64 {
         match self.origin {
-            RequestOrigin::Call { repeat_share, .. } => repeat_share,
+            RequestOrigin::NestedCall { repeat_share, .. } => repeat_share,
             RequestOrigin::Caller { .. } => 0.0,
         }
     }
--- a/tests/origin.rs
+++ b/tests/origin.rs
@@ -11,7 +11,7 @@
 }
 
 fn work(id: u64, route: &str, until: Instant, repeat_share: f64) -> RunningWork<'_> {
-    RunningWork { id, route, until, repeat_share }
+    RunningWork { id, route, deadline: until, repeat_share }
 }
 
 const CERTAIN: RequestOrigin = RequestOrigin::Caller { certain: true };
@@ -45,7 +45,7 @@
 
     let origin = OriginTracker::default().classify("price", now + ms(1_500), &works);
 
-    assert_eq!(origin, RequestOrigin::Call { parents: vec![1, 2], repeat_share: 0.5 });
+    assert_eq!(origin, RequestOrigin::NestedCall { parents: vec![1, 2], repeat_share: 0.5 });
 }
 
 #[test]
@@ -60,9 +60,9 @@
     origins.set_used_by_callers("charge", false);
     let corrected = origins.classify("charge", now + ms(10_000), &works);
 
-    assert!(matches!(unknown, RequestOrigin::Call { .. }));
+    assert!(matches!(unknown, RequestOrigin::NestedCall { .. }));
     assert_eq!(told, BY_ROUTE);
-    assert!(matches!(corrected, RequestOrigin::Call { .. }));
+    assert!(matches!(corrected, RequestOrigin::NestedCall { .. }));
 }
 
 #[rstest]
@@ -126,7 +126,7 @@
             if let Some(is_callers) = guard.used_by_callers(route) {
                 ingresses[vm].set_used_by_callers(route, is_callers);
             }
-            matches!(origin, RequestOrigin::Call { .. }) && guard.used_by_callers(route) != Some(true)
+            matches!(origin, RequestOrigin::NestedCall { .. }) && guard.used_by_callers(route) != Some(true)
         };
         if rng.random_bool(0.1) {
             let (class, deadline) = CLASSES[rng.random_range(0..CLASSES.len())];
@@ -134,7 +134,7 @@
             wrong_requests += u32::from(ask(class, now + ms(deadline)));
         }
         if let Some(parent) = running.first().filter(|_| rng.random_bool(0.2)) {
-            wrong_calls += u32::from(!ask("price", parent.until.min(now + ms(1_500))));
+            wrong_calls += u32::from(!ask("price", parent.deadline.min(now + ms(1_500))));
         }
     }
 
