--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -6,18 +6,18 @@
 mod class_retry_budget;
 mod detector;
 mod endpoint_health;
-mod path;
+mod path_health;
 
 pub mod fingerprint;
 pub mod guard_retry_budget;
+pub mod incarnation;
 pub mod latest_start;
-pub mod life;
 pub mod origin;
-pub mod place;
+pub mod placement;
 pub mod quarantine;
 pub mod service_times;
+pub mod shutdown;
 pub mod slot_time;
-pub mod stopping;
 pub mod subset;
 pub mod suspicion;
 pub mod wait_queue;
@@ -32,4 +32,4 @@
     Evidence, FailureDetector, Sample, ejection_threshold, failure_level, failure_rate_from_level, median_failure_rate,
 };
 pub use endpoint_health::{EjectionConfig, EndpointEvent, EndpointHealth};
-pub use path::PathHealth;
+pub use path_health::PathHealth;
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -20,12 +20,12 @@
     decide::{
         fingerprint::Fingerprint,
         guard_retry_budget::{GuardRetryBudget, RetryBudgetConfig},
-        life::EndpointId,
-        origin::Origins,
+        incarnation::EndpointId,
+        origin::OriginTracker,
         quarantine::Quarantine,
         service_times::ServiceTimes,
-        slot_time::{Occupancy, SlotTime, Use},
-        suspicion::{Record, Standing},
+        slot_time::{SlotOccupancy, SlotTime, SlotUse},
+        suspicion::{EndpointStanding, StandingTracker},
         wait_queue::{WaitQueue, WaiterId},
     },
     proxy::{
@@ -106,13 +106,13 @@
     /// How much it works on at once.
     pub slots: u32,
     /// How far it is trusted.
-    pub standing: Standing,
+    pub standing: EndpointStanding,
 }
 
 struct Endpoint {
     announced: Announced,
     pool: Rc<EndpointPool>,
-    record: Record,
+    record: StandingTracker,
     heard: Instant,
     cold_until: Instant,
 }
@@ -150,7 +150,7 @@
     /// `calls::LINGERING_KEPT`.
     lingering: Vec<Given>,
     /// Tells calls from callers' requests.
-    origins: Origins,
+    origins: OriginTracker,
     /// The last number given to a failed call.
     last_failed_call: FailedCall,
     /// Which services the work of a class called here; sorted.
@@ -172,15 +172,15 @@
     /// Accounts for the slots until now; to be called whenever they may be taken otherwise than before.
     fn account(&mut self, now: Instant) {
         let working = count(self.ledger.running().count());
-        let next = self.serving().map_or_else(Occupancy::default, |it| Occupancy {
+        let next = self.serving().map_or_else(SlotOccupancy::default, |it| SlotOccupancy {
             slots: it.announced.slots,
             usable: it.usable_slots(now),
             offered: count(self.ledger.len()) - working,
             working,
             standing: it.record.standing(),
-            waiters: !self.queue.is_empty(),
+            has_waiters: !self.queue.is_empty(),
         });
-        self.slot_time.step(next, now);
+        self.slot_time.advance(next, now);
     }
 }
 
@@ -222,7 +222,7 @@
                 quarantine_news: Vec::new(),
                 quarantine_found: Vec::new(),
                 lingering: Vec::new(),
-                origins: Origins::default(),
+                origins: OriginTracker::default(),
                 last_failed_call: 0,
                 calls: Vec::new(),
                 ends: None,
@@ -249,7 +249,7 @@
     }
 
     /// How far the endpoint is trusted, while it takes work; told with every reply, so nothing is copied for it.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> EndpointStanding {
         self.state.borrow().serving().map(|it| it.record.standing()).unwrap_or_default()
     }
 
@@ -278,8 +278,8 @@
     pub fn slot_ms(&self) -> Vec<(&'static str, u64)> {
         let mut state = self.state.borrow_mut();
         state.account(clock::now());
-        let millis = |it: Use| u64::try_from(state.slot_time.sum(it).as_millis()).unwrap_or(u64::MAX);
-        Use::ALL.iter().map(|it| (it.name(), millis(*it))).collect()
+        let millis = |it: SlotUse| u64::try_from(state.slot_time.total(it).as_millis()).unwrap_or(u64::MAX);
+        SlotUse::ALL.iter().map(|it| (it.name(), millis(*it))).collect()
     }
 
     /// Whether no endpoint is known.
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -12,7 +12,7 @@
     decide::{
         guard_retry_budget::Retry,
         service_times::ServiceTimes,
-        suspicion::Standing,
+        suspicion::EndpointStanding,
         wait_queue::{Waiter, WaiterId},
     },
     proxy::{
@@ -80,15 +80,15 @@
         if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
             return Err(Refusal::Elsewhere);
         }
-        if self.quarantine.case(req.fingerprint).is_held() && !req.released {
+        if self.quarantine.crash_record(req.fingerprint).is_quarantined() && !req.released {
             return Err(Refusal::Quarantined);
         }
-        self.origins.count(&req.route, req.certain_caller);
+        self.origins.record(&req.route, req.certain_caller);
         if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
             return Err(Refusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
-        let call = req.call && self.origins.says(&req.route) != Some(true);
+        let call = req.call && self.origins.used_by_callers(&req.route) != Some(true);
         self.allowance.set_guard_count(known.guards);
         if req.arrival == Arrival::Repeat {
             let retry = Retry { rank: req.rank, is_nested_call: call };
@@ -125,11 +125,11 @@
         let limit = endpoint.usable_slots(now);
         while count(ledger.len()) < limit {
             let trials = count(ledger.trials());
-            let suspect_here = ledger.purposes().any(|it| quarantine.case(it.fingerprint).is_suspect());
+            let suspect_here = ledger.purposes().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
-                let case = quarantine.case(it.fingerprint);
+                let case = quarantine.crash_record(it.fingerprint);
                 endpoint.record.admits(it.accepts, it.may_be_trial, trials, now)
-                    && (it.is_quarantine_trial || !case.is_held())
+                    && (it.is_quarantine_trial || !case.is_quarantined())
                     && !(case.is_suspect() && suspect_here)
                     && (!it.is_retry || allowance.allows(it.retry(), now))
                     && fits(*ends, pace, &it.route, now)
@@ -143,7 +143,7 @@
                 released: waiter.is_quarantine_trial,
                 idempotent: waiter.idempotent,
                 repeat_share: waiter.repeat_share,
-                trial: endpoint.record.standing() != Standing::Clean,
+                trial: endpoint.record.standing() != EndpointStanding::Clean,
             };
             let grant = ledger.offer(endpoint.announced.id.clone(), purpose);
             let id = grant.id;
@@ -151,7 +151,7 @@
                 ledger.end(id, RunEnd::NotRun(NotRun::NoGrant), now);
                 continue;
             }
-            endpoint.record.begun(now);
+            endpoint.record.record_start(now);
             allowance.record_arrival(waiter.repeat_share);
             return Some(id);
         }
@@ -163,7 +163,9 @@
         let Self { endpoint, queue, senders, allowance, quarantine, pace, ends, .. } = self;
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
-            _ if quarantine.case(it.fingerprint).is_held() && !it.is_quarantine_trial => Some(Refusal::Quarantined),
+            _ if quarantine.crash_record(it.fingerprint).is_quarantined() && !it.is_quarantine_trial => {
+                Some(Refusal::Quarantined)
+            }
             None => Some(Refusal::Elsewhere),
             Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
             Some(endpoint) if !endpoint.record.admits(it.accepts, it.may_be_trial, 0, now) => Some(Refusal::Suspect),
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -20,7 +20,8 @@
 
 use crate::{
     decide::{
-        fingerprint::Fingerprint, origin::Origin, service_times::ServiceTimes, weighted_round_robin::WeightedRoundRobin,
+        fingerprint::Fingerprint, origin::RequestOrigin, service_times::ServiceTimes,
+        weighted_round_robin::WeightedRoundRobin,
     },
     platform,
     proxy::{
@@ -77,7 +78,7 @@
     /// Place in the configuration's routes.
     route: usize,
     service: ServiceName,
-    origin: Origin,
+    origin: RequestOrigin,
     /// The rank of the route, or of the work that made this; 0 goes first.
     rank: u32,
     method: Box<str>,
@@ -279,8 +280,8 @@
     }
 
     /// How urgent a request is: a call is as urgent as the most urgent work that may have made it.
-    fn rank(&self, config: &Config, route: &Route, origin: &Origin) -> u32 {
-        let Origin::Call { parents, .. } = origin else { return route.rank };
+    fn rank(&self, config: &Config, route: &Route, origin: &RequestOrigin) -> u32 {
+        let RequestOrigin::NestedCall { parents, .. } = origin else { return route.rank };
         let parents = self.guard.routes_of(parents);
         let ranks = config.routes().iter().filter(|it| parents.contains(&it.name)).map(|it| it.rank);
         ranks.min().unwrap_or(route.rank)
@@ -321,7 +322,7 @@
         };
         let took = clock::now().saturating_duration_since(job.arrived);
         let route = job.route();
-        if let Origin::Call { parents, .. } = &job.origin
+        if let RequestOrigin::NestedCall { parents, .. } = &job.origin
             && !resp.status().is_success()
         {
             self.guard.call_failed(parents);
@@ -333,7 +334,7 @@
             service: &job.service,
             status: resp.status().as_u16(),
             outcome,
-            quarantined: self.guard.case(job.fingerprint).is_held().then_some(job.fingerprint),
+            quarantined: self.guard.case(job.fingerprint).is_quarantined().then_some(job.fingerprint),
             call: job.is_call(),
             asked: job.asked.get(),
             attempts: job.attempts.get(),
@@ -367,7 +368,7 @@
     }
 
     fn is_call(&self) -> bool {
-        matches!(self.origin, Origin::Call { .. })
+        matches!(self.origin, RequestOrigin::NestedCall { .. })
     }
 
     /// What the next attempt is to the allowance of its guard.
@@ -381,8 +382,8 @@
     /// How much of the request counts as a repeat where it goes, 0 to 1.
     fn repeat_share(&self) -> f64 {
         match self.origin {
-            Origin::Call { repeat_share, .. } => repeat_share,
-            Origin::Caller { .. } => 0.0,
+            RequestOrigin::NestedCall { repeat_share, .. } => repeat_share,
+            RequestOrigin::Caller { .. } => 0.0,
         }
     }
 
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -11,11 +11,11 @@
 use super::{Guarded, Job, NoPlace, Placed};
 use crate::{
     decide::{
+        incarnation::EndpointId,
         latest_start::{WorkTiming, latest_start},
-        life::EndpointId,
-        origin::Origin,
-        place::{Candidate, Order, order},
-        suspicion::{self, Standing},
+        origin::RequestOrigin,
+        placement::{CandidateRanking, PlacementCandidate, rank_candidates},
+        suspicion::{self, EndpointStanding},
     },
     proxy::{
         Proxy, clock,
@@ -50,7 +50,7 @@
 struct Reachable {
     guard: Guarded,
     /// What is known of it.
-    candidate: Candidate,
+    candidate: PlacementCandidate,
     /// How long ago its load was told.
     told_ago: Duration,
 }
@@ -59,7 +59,7 @@
 struct Choice {
     endpoints: Vec<Reachable>,
     /// By place in `endpoints`.
-    order: Order,
+    order: CandidateRanking,
 }
 
 impl Proxy {
@@ -100,7 +100,7 @@
     /// Until when waiting for a place makes sense.
     fn patience(&self, job: &Job) -> Instant {
         let route = job.route();
-        let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.last_call()));
+        let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.answer_deadline()));
         let timing = WorkTiming {
             arrived: job.arrived,
             target_latency: route.goal,
@@ -122,18 +122,18 @@
             (served.service == job.service).then(|| Self::reachable_there(name, link, endpoint))?
         });
         let endpoints: Vec<Reachable> = here.into_iter().chain(there).collect();
-        let candidates: Vec<Candidate> = endpoints.iter().map(|it| it.candidate).collect();
-        let order = order(&candidates, Self::may_be_trial(job), &mut rand::rng());
+        let candidates: Vec<PlacementCandidate> = endpoints.iter().map(|it| it.candidate).collect();
+        let order = rank_candidates(&candidates, Self::may_be_trial(job), &mut rand::rng());
         Choice { endpoints, order }
     }
 
     /// This VM's endpoint.
     fn reachable_here(&self, endpoint: &Serving) -> Reachable {
         let (running, waiting) = self.guard.load();
-        let candidate = Candidate {
-            near: true,
+        let candidate = PlacementCandidate {
+            same_data_centre: true,
             standing: endpoint.standing,
-            path_rests: false,
+            path_backing_off: false,
             load: running + waiting,
             slots: endpoint.slots,
         };
@@ -147,10 +147,10 @@
             return None;
         }
         let now = clock::now();
-        let candidate = Candidate {
-            near: link.near,
+        let candidate = PlacementCandidate {
+            same_data_centre: link.near,
             standing: link.standing(),
-            path_rests: link.rests(now),
+            path_backing_off: link.rests(now),
             load: link.load(now),
             slots: endpoint.slots,
         };
@@ -176,7 +176,7 @@
 
     /// Asks guards in order until one gives a place; `None` if all refused.
     async fn ask(self: &Rc<Self>, job: &Job, choice: &Choice, patience: Instant, start: Instant) -> Option<Placed> {
-        let mut rest = choice.order.ask.iter();
+        let mut rest = choice.order.ranked.iter();
         let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, Refusal>)>> = FuturesUnordered::new();
         let asked_before = job.asked.get();
         let begin = tokio::time::Instant::now();
@@ -191,7 +191,7 @@
                     job,
                     &choice.endpoints[*at].guard,
                     *at,
-                    choice.order.accepts,
+                    choice.order.worst_accepted,
                     patience,
                 )));
             }
@@ -246,7 +246,7 @@
         job: &Job,
         guard: &Guarded,
         at: usize,
-        accepts: Standing,
+        accepts: EndpointStanding,
         patience: Instant,
     ) -> (usize, Result<Grant, Refusal>) {
         let req = Reserve {
@@ -261,7 +261,7 @@
             trial: Self::may_be_trial(job),
             arrival: job.next_arrival(),
             call: job.is_call(),
-            certain_caller: job.origin == Origin::Caller { certain: true },
+            certain_caller: job.origin == RequestOrigin::Caller { certain: true },
             rank: job.rank,
             useful_for: patience.saturating_duration_since(clock::now()),
             accepts,
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -45,8 +45,8 @@
 use crate::{
     decide::{
         guard_retry_budget::RetryBudgetConfig,
-        stopping::{Stage, Stop},
-        watchers::Substitution,
+        shutdown::{Shutdown, ShutdownStage},
+        watchers::WatchSubstitution,
     },
     error::Error,
     platform::{ConfigFinding, ParsedConfig, Store},
@@ -89,7 +89,7 @@
     watching: Cell<bool>,
     /// The store gave the last watch, or the read before it, no answer.
     store_silent: Cell<bool>,
-    substitution: Cell<Substitution>,
+    substitution: Cell<WatchSubstitution>,
     directory: RefCell<Directory>,
     /// Some row changed, or a proxy joined or left.
     members_changed: Notify,
@@ -104,7 +104,7 @@
     /// Requests of callers that have no answer yet.
     requests: Cell<usize>,
     /// Set by SIGTERM.
-    stop: Cell<Option<Stop>>,
+    stop: Cell<Option<Shutdown>>,
     /// `stop` was set.
     stops: Notify,
     metrics: PrometheusHandle,
@@ -221,7 +221,7 @@
 
     /// Whether new requests are refused at once: what begins now could not be finished.
     fn takes_no_more(&self) -> bool {
-        self.stop.get().is_some_and(|it| it.stage() != Stage::HandingOver)
+        self.stop.get().is_some_and(|it| it.stage() != ShutdownStage::HandingOver)
     }
 
     /// Whether callers should come here.
--- a/tests/gray_fleet.rs
+++ b/tests/gray_fleet.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use jayreach::decide::{
-    place::{Candidate, order},
-    suspicion::{Record, Sample, Standing, may_be_trial},
+    placement::{PlacementCandidate, rank_candidates},
+    suspicion::{AnswerSample, EndpointStanding, StandingTracker, may_be_trial},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
@@ -26,19 +26,19 @@
 
 struct Fleet {
     now: Instant,
-    records: [Record; ENDPOINTS],
+    records: [StandingTracker; ENDPOINTS],
     gray: [bool; ENDPOINTS],
     /// The chance that an endpoint declines.
     sheds: f64,
     /// How a decline is judged.
-    declined: Sample,
+    declined: AnswerSample,
     rng: SmallRng,
 }
 
 impl Fleet {
-    fn new(sheds: f64, declined: Sample) -> Self {
+    fn new(sheds: f64, declined: AnswerSample) -> Self {
         let (now, rng) = (Instant::now(), SmallRng::seed_from_u64(11));
-        Self { now, records: [Record::default(); ENDPOINTS], gray: [false; ENDPOINTS], sheds, declined, rng }
+        Self { now, records: [StandingTracker::default(); ENDPOINTS], gray: [false; ENDPOINTS], sheds, declined, rng }
     }
 
     /// The next request comes; every 12 s other endpoints turn gray, three in ten.
@@ -49,11 +49,11 @@
         }
     }
 
-    fn candidates(&self, endpoints: &[usize]) -> Vec<Candidate> {
-        let candidate = |it: &usize| Candidate {
-            near: true,
+    fn candidates(&self, endpoints: &[usize]) -> Vec<PlacementCandidate> {
+        let candidate = |it: &usize| PlacementCandidate {
+            same_data_centre: true,
             standing: self.records[*it].standing(),
-            path_rests: false,
+            path_backing_off: false,
             load: 0,
             slots: 4,
         };
@@ -63,21 +63,21 @@
     fn place(&mut self, trial: bool, tried: &[usize]) -> Option<usize> {
         let open: Vec<usize> = (0..ENDPOINTS).filter(|it| !tried.contains(it)).collect();
         let candidates = self.candidates(&open);
-        let order = order(&candidates, trial, &mut self.rng);
-        let admitted = |it: &usize| self.records[*it].admits(order.accepts, trial, 0, self.now);
-        order.ask.into_iter().map(|it| open[it]).find(admitted)
+        let order = rank_candidates(&candidates, trial, &mut self.rng);
+        let admitted = |it: &usize| self.records[*it].admits(order.worst_accepted, trial, 0, self.now);
+        order.ranked.into_iter().map(|it| open[it]).find(admitted)
     }
 
     fn work(&mut self, at: usize) -> End {
         let (end, sample) = if self.rng.random_bool(self.sheds) {
             (End::Declined, self.declined)
         } else if self.gray[at] && self.rng.random_bool(0.9) {
-            (End::Failed, Sample::failure(MS, Some(WORK)))
+            (End::Failed, AnswerSample::from_failure(MS, Some(WORK)))
         } else {
-            (End::Done, Sample::Good)
+            (End::Done, AnswerSample::Good)
         };
-        self.records[at].begun(self.now);
-        self.records[at].sample(sample, self.now, self.now);
+        self.records[at].record_start(self.now);
+        self.records[at].record_sample(sample, self.now, self.now);
         end
     }
 
@@ -114,9 +114,9 @@
 
 #[test]
 fn only_work_with_an_attempt_left_is_a_trial() {
-    let lost_before = lost(Fleet::new(0.0, Sample::Declined), false, |_| true);
+    let lost_before = lost(Fleet::new(0.0, AnswerSample::Declined), false, |_| true);
 
-    let lost = lost(Fleet::new(0.0, Sample::Declined), false, with_attempt_left);
+    let lost = lost(Fleet::new(0.0, AnswerSample::Declined), false, with_attempt_left);
 
     assert!(lost * 3 < lost_before, "{lost} lost of {REQUESTS}, {lost_before} with any idempotent work as a trial");
 }
@@ -131,9 +131,9 @@
 
 #[test]
 fn where_all_endpoints_shed_the_gray_ones_still_get_little() {
-    let lost_before = lost(Fleet::new(0.55, Sample::Bad), true, with_attempt_left);
+    let lost_before = lost(Fleet::new(0.55, AnswerSample::HardFailure), true, with_attempt_left);
 
-    let lost = lost(Fleet::new(0.55, Sample::Declined), true, with_attempt_left);
+    let lost = lost(Fleet::new(0.55, AnswerSample::Declined), true, with_attempt_left);
 
     // Two arrivals of which each is declined with 0.55 lose 0.30 of the requests at least.
     let floor = f64::from(REQUESTS) * 0.55 * 0.55;
@@ -144,8 +144,8 @@
 
 #[test]
 fn one_endpoint_that_sheds_gets_trials_only() {
-    let mut fleet = Fleet::new(0.0, Sample::Declined);
-    fleet.records[3].sample(Sample::Declined, fleet.now, fleet.now);
+    let mut fleet = Fleet::new(0.0, AnswerSample::Declined);
+    fleet.records[3].record_sample(AnswerSample::Declined, fleet.now, fleet.now);
     fleet.step(1);
 
     let placed: Vec<_> = (0..200).filter_map(|_| fleet.place(false, &[])).collect();
@@ -156,19 +156,19 @@
 
 #[test]
 fn an_endpoint_returns_where_no_work_is_idempotent() {
-    let mut fleet = Fleet::new(0.0, Sample::Declined);
-    fleet.records[0].sample(Sample::Bad, fleet.now, fleet.now);
+    let mut fleet = Fleet::new(0.0, AnswerSample::Declined);
+    fleet.records[0].record_sample(AnswerSample::HardFailure, fleet.now, fleet.now);
 
     // Half a minute at 25 requests a second, all of which find the first three endpoints full.
     for _ in 0..25 * 30 {
         fleet.now += 40 * MS;
         let candidates = fleet.candidates(&(0..ENDPOINTS).collect::<Vec<_>>());
-        let order = order(&candidates, false, &mut fleet.rng);
-        let admitted = |it: &&usize| fleet.records[**it].admits(order.accepts, false, 0, fleet.now);
-        if let Some(at) = order.ask[3..].iter().find(admitted) {
+        let order = rank_candidates(&candidates, false, &mut fleet.rng);
+        let admitted = |it: &&usize| fleet.records[**it].admits(order.worst_accepted, false, 0, fleet.now);
+        if let Some(at) = order.ranked[3..].iter().find(admitted) {
             fleet.work(*at);
         }
     }
 
-    assert_eq!(fleet.records[0].standing(), Standing::Clean);
+    assert_eq!(fleet.records[0].standing(), EndpointStanding::Clean);
 }
