--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -1,7 +1,7 @@
 //! The places of one guard: each is used once, and what became of it is remembered for a while.
 //!
 //! Pure: this is what makes "not run" true, so it is checked by itself against messages that are lost,
-//! late and doubled, and guards that restart (tests/places.rs).
+//! late and doubled, and guards that restart (tests/grant_ledger.rs).
 
 use std::time::{Duration, Instant};
 
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -1,10 +1,10 @@
 //! The only way to the VM's endpoint: places, the queue, and what became of each place.
 
-mod announced;
+mod announcements;
 mod calls;
 pub mod ledger;
-mod places;
-pub(super) mod quarantined;
+pub(super) mod quarantine;
+mod reservations;
 mod runs;
 
 use std::{
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -1,7 +1,7 @@
 //! What becomes of a caller's request: its route, places, attempts, and its one answer.
 
 mod attempt;
-mod placing;
+mod reserve;
 
 use std::{
     cell::Cell,
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -20,7 +20,7 @@
     proxy::{
         Proxy,
         backoff::Backoff,
-        guard::quarantined::Source,
+        guard::quarantine::Source,
         message::{Cases, path},
         peer::Link,
         spread::{GATHER, HELLO_TIMEOUT},
