--- a/src/proxy/guard/announcements.rs
+++ b/src/proxy/guard/announcements.rs
@@ -151,7 +151,7 @@
             Some(_) | None => retire(&mut state, id.clone()),
         }
         // Places that are offered and not used yet are taken back: the ingress is told "not run".
-        let offered = state.ledger.offered();
+        let offered = state.ledger.unused_grants();
         drop(state);
         for grant in offered {
             self.end(grant, RunEnd::NotRun(NotRun::NoGrant));
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Guard, State,
-    ledger::{Given, Running},
+    ledger::{ActiveRun, GrantEntry},
 };
 use crate::{
     decide::origin::{Origin, Work},
@@ -24,13 +24,13 @@
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let State { ledger, lingering, origins, calls, .. } = &mut *state;
-        let running = ledger.running();
-        let gone_on = lingering.iter().filter_map(Given::as_running).filter(|it| now < it.2.until);
-        let work = |(id, route, it): (GrantId, _, &Running)| Work {
+        let running = ledger.active_runs();
+        let gone_on = lingering.iter().filter_map(GrantEntry::as_active_run).filter(|it| now < it.2.deadline);
+        let work = |(id, route, it): (GrantId, _, &ActiveRun)| Work {
             id,
             route,
-            until: it.until,
-            repeat_share: it.repeat_share,
+            until: it.deadline,
+            repeat_share: it.retry_share,
         };
         let works: Vec<Work<'_>> = running.chain(gone_on).map(work).collect();
         let origin = origins.judge(route, until, &works);
@@ -47,8 +47,8 @@
     /// The classes of those of `works` that run here, or may go on.
     pub fn routes_of(&self, works: &[GrantId]) -> Vec<RouteName> {
         let state = self.state.borrow();
-        let running = state.ledger.running();
-        let gone_on = state.lingering.iter().filter_map(Given::as_running);
+        let running = state.ledger.active_runs();
+        let gone_on = state.lingering.iter().filter_map(GrantEntry::as_active_run);
         let named = running.chain(gone_on).filter(|it| works.contains(&it.0));
         named.map(|it| it.1.into()).collect()
     }
@@ -81,14 +81,14 @@
         let mut state = self.state.borrow_mut();
         state.last_failed_call += 1;
         let call = state.last_failed_call;
-        state.ledger.call_failed(call, parents);
+        state.ledger.add_failed_call(call, parents);
     }
 }
 
 impl State {
     /// Remembers work that may go on at the endpoint.
-    pub(super) fn keep_lingering(&mut self, given: Given, now: Instant) {
-        self.lingering.retain(|it| it.running.as_ref().is_some_and(|it| now < it.until));
+    pub(super) fn keep_lingering(&mut self, given: GrantEntry, now: Instant) {
+        self.lingering.retain(|it| it.active_run.as_ref().is_some_and(|it| now < it.deadline));
         if self.lingering.len() < LINGERING_KEPT {
             self.lingering.push(given);
         }
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -33,7 +33,7 @@
         directory::{EndpointRow, Incarnation},
         endpoint::EndpointPool,
         events::Events,
-        guard::ledger::{FailedCall, Given, Ledger},
+        guard::ledger::{FailedCallId, GrantEntry, GrantLedger},
         message::{Grant, Refusal},
         routes::{RouteName, ServiceName},
     },
@@ -137,7 +137,7 @@
     queue: WaitQueue,
     /// One for each waiter in the queue.
     senders: Vec<(WaiterId, PlaceSender)>,
-    ledger: Ledger,
+    ledger: GrantLedger,
     pace: Pace,
     allowance: Allowance,
     /// Requests that end endpoints.
@@ -148,11 +148,11 @@
     quarantine_found: Vec<Fingerprint>,
     /// Work that ended without the endpoint's answer: it may go on, and call, until its time is over. At most
     /// `calls::LINGERING_KEPT`.
-    lingering: Vec<Given>,
+    lingering: Vec<GrantEntry>,
     /// Tells calls from callers' requests.
     origins: Origins,
     /// The last number given to a failed call.
-    last_failed_call: FailedCall,
+    last_failed_call: FailedCallId,
     /// Which services the work of a class called here; sorted.
     calls: Vec<(RouteName, ServiceName)>,
     /// This proxy stops: the endpoint's work must have ended by then.
@@ -171,7 +171,7 @@
 
     /// Accounts for the slots until now; to be called whenever they may be taken otherwise than before.
     fn account(&mut self, now: Instant) {
-        let working = count(self.ledger.running().count());
+        let working = count(self.ledger.active_runs().count());
         let next = self.serving().map_or_else(Occupancy::default, |it| Occupancy {
             slots: it.announced.slots,
             usable: it.usable_slots(now),
@@ -210,7 +210,7 @@
                 retired: Vec::new(),
                 queue: WaitQueue::default(),
                 senders: Vec::new(),
-                ledger: Ledger::new(incarnation),
+                ledger: GrantLedger::new(incarnation),
                 pace: Pace::default(),
                 allowance: Allowance::new(terms),
                 quarantine: Quarantine::default(),
--- a/src/proxy/guard/quarantine.rs
+++ b/src/proxy/guard/quarantine.rs
@@ -76,7 +76,7 @@
         let mut state = self.state.borrow_mut();
         let State { ledger, quarantine, .. } = &mut *state;
         let work: Vec<(Fingerprint, Case)> =
-            ledger.working_at(endpoint).map(|(purpose, it)| (purpose.fingerprint, it.known)).collect();
+            ledger.runs_at(endpoint).map(|(work, it)| (work.fingerprint, it.case_at_start)).collect();
         let before: Vec<(Fingerprint, bool)> = work.iter().map(|it| (it.0, quarantine.case(it.0).is_held())).collect();
         let news = quarantine.end_under(&work, clock::now());
         drop(state);
@@ -88,14 +88,14 @@
     /// Says that the endpoint ended while it had this work.
     pub(super) fn tell_ended(&self, grant: &Grant, request: &str, ran: Duration) {
         let state = self.state.borrow();
-        let Some(given) = state.ledger.given(grant.id) else { return };
-        let fingerprint = given.purpose.fingerprint;
+        let Some(given) = state.ledger.entry(grant.id) else { return };
+        let fingerprint = given.work.fingerprint;
         self.events.emit(&Event::EndedUnder {
             endpoint: &grant.endpoint.name,
             request,
             fingerprint,
             ran_ms: ran.as_millis(),
-            running: state.ledger.working_at(&grant.endpoint).count(),
+            running: state.ledger.runs_at(&grant.endpoint).count(),
             evidence: state.quarantine.case(fingerprint).evidence(),
         });
         metrics::counter!("jayreach_endpoint_ended_under_work_total").increment(1);
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -7,7 +7,7 @@
 
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
-use super::{EndpointPhase, Guard, PlaceSender, State, Surroundings, count, ledger::Purpose};
+use super::{EndpointPhase, Guard, PlaceSender, State, Surroundings, count, ledger::GrantedWork};
 use crate::{
     decide::{
         allowance::Repeat,
@@ -58,7 +58,7 @@
         let guard = Rc::clone(self);
         spawn_local(async move {
             sleep(GRANT_TTL).await;
-            let unused = guard.state.borrow().ledger.offered().contains(&id);
+            let unused = guard.state.borrow().ledger.unused_grants().contains(&id);
             if unused {
                 guard.end(id, RunEnd::NotRun(NotRun::NoGrant));
             }
@@ -84,7 +84,7 @@
             return Err(Refusal::Quarantined);
         }
         self.origins.count(&req.route, req.certain_caller);
-        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
+        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.endpoint_trials()), now) {
             return Err(Refusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
@@ -124,8 +124,8 @@
         let endpoint = endpoint.as_mut().filter(|it| it.announced.phase == EndpointPhase::Serving)?;
         let limit = endpoint.usable_slots(now);
         while count(ledger.len()) < limit {
-            let trials = count(ledger.trials());
-            let suspect_here = ledger.purposes().any(|it| quarantine.case(it.fingerprint).is_suspect());
+            let trials = count(ledger.endpoint_trials());
+            let suspect_here = ledger.granted_work().any(|it| quarantine.case(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
                 let case = quarantine.case(it.fingerprint);
                 endpoint.record.admits(it.accepts, it.trial, trials, now)
@@ -137,15 +137,15 @@
             let waiter = queue.next(now, admits)?;
             let Some(at) = senders.iter().position(|it| it.0 == waiter.id) else { continue };
             let (_, tx) = senders.swap_remove(at);
-            let purpose = Purpose {
+            let work = GrantedWork {
                 route: waiter.route,
                 fingerprint: waiter.fingerprint,
-                released: waiter.released,
+                quarantine_trial: waiter.released,
                 idempotent: waiter.idempotent,
-                repeat_share: waiter.repeat_share,
-                trial: endpoint.record.standing() != Standing::Clean,
+                retry_share: waiter.repeat_share,
+                endpoint_trial: endpoint.record.standing() != Standing::Clean,
             };
-            let grant = ledger.offer(endpoint.announced.id.clone(), purpose);
+            let grant = ledger.issue(endpoint.announced.id.clone(), work);
             let id = grant.id;
             if tx.send(Ok(grant)).is_err() {
                 ledger.end(id, RunEnd::NotRun(NotRun::NoGrant), now);
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Guard, State,
-    ledger::{Known, Running},
+    ledger::{ActiveRun, GrantStatus},
 };
 use crate::{
     decide::{
@@ -74,27 +74,27 @@
         let mut state = self.state.borrow_mut();
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
-        let purpose = &ledger.given(run.grant.id)?.purpose;
-        let known = quarantine.case(purpose.fingerprint);
-        if known.is_held() && !purpose.released {
+        let work = &ledger.entry(run.grant.id)?.work;
+        let known = quarantine.case(work.fingerprint);
+        if known.is_held() && !work.quarantine_trial {
             return None;
         }
         let now = clock::now();
-        let running = Running {
-            repeat_share: run.repeat_share,
-            known,
-            begun: now,
-            until: now + run.left,
+        let running = ActiveRun {
+            retry_share: run.repeat_share,
+            case_at_start: known,
+            started_at: now,
+            deadline: now + run.left,
             failed_calls: Vec::new(),
-            explained: false,
+            failure_explained: false,
         };
-        let purpose = &ledger.begin(&run.grant, running)?.purpose;
-        let usual = pace.mean(&purpose.route);
+        let work = &ledger.start_run(&run.grant, running)?.work;
+        let usual = pace.mean(&work.route);
         let stages = Stages {
-            working: purpose.trial.then(|| suspicion::fast_limit(usual).max(WORKING_LEAST)),
+            working: work.endpoint_trial.then(|| suspicion::fast_limit(usual).max(WORKING_LEAST)),
             overdue: usual.map_or(OVERDUE_UNKNOWN, |it| it * OVERDUE_FACTOR + OVERDUE_MORE),
         };
-        let begun = (Rc::clone(&endpoint.pool), purpose.idempotent, stages);
+        let begun = (Rc::clone(&endpoint.pool), work.idempotent, stages);
         state.account(now);
         Some(begun)
     }
@@ -139,8 +139,8 @@
         const CLOSE: Duration = Duration::from_millis(100);
         let took = clock::now().saturating_duration_since(begun);
         let state = self.state.borrow();
-        let Some(given) = state.ledger.given(grant.id) else { return };
-        let (route, fingerprint) = (given.purpose.route.clone(), given.purpose.fingerprint);
+        let Some(given) = state.ledger.entry(grant.id) else { return };
+        let (route, fingerprint) = (given.work.route.clone(), given.work.fingerprint);
         let failure = Sample::failure(took, state.pace.mean(&route));
         drop(state);
         let (sample, why) = match end {
@@ -150,7 +150,7 @@
                 (Sample::Good, "answered")
             }
             RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
-            RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure(grant.id) => return,
+            RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure_by_call(grant.id) => return,
             RunEnd::Answered { .. } => (failure, "failed"),
             RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) | RunEnd::NotRun(NotRun::NoGrant) => return,
             RunEnd::Unknown(Unknown::Ended) => {
@@ -197,12 +197,12 @@
         let may_go_on = matches!(end, RunEnd::Unknown(_));
         let on = use_of(&end);
         let Some(given) = state.ledger.end(grant, end, now) else { return };
-        if let Some(it) = &given.running {
-            let on = if it.explained { Use::CallFailed } else { on };
-            state.slot_time.worked(on, now.saturating_duration_since(it.begun));
+        if let Some(it) = &given.active_run {
+            let on = if it.failure_explained { Use::CallFailed } else { on };
+            state.slot_time.worked(on, now.saturating_duration_since(it.started_at));
         }
         if unused {
-            state.allowance.refund(given.purpose.repeat_share);
+            state.allowance.refund(given.work.retry_share);
         }
         if may_go_on {
             state.keep_lingering(given, now);
@@ -214,8 +214,8 @@
 
     /// What became of a place; one that was not used yet is taken back.
     pub async fn ask(self: &Rc<Self>, grant: &Grant) -> RunEnd {
-        let known = self.state.borrow().ledger.look_up(grant);
-        if known == Known::Offered {
+        let known = self.state.borrow().ledger.status(grant);
+        if known == GrantStatus::Unused {
             self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
         }
         timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(Unknown::Silent))
@@ -226,11 +226,11 @@
             let ended = self.run_ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            let known = self.state.borrow().ledger.look_up(grant);
+            let known = self.state.borrow().ledger.status(grant);
             match known {
-                Known::Offered | Known::Running => ended.await,
-                Known::Ended(it) => return it,
-                Known::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
+                GrantStatus::Unused | GrantStatus::Running => ended.await,
+                GrantStatus::Ended(it) => return it,
+                GrantStatus::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
             }
         }
     }
--- a/tests/grant_ledger.rs
+++ b/tests/grant_ledger.rs
@@ -8,7 +8,7 @@
 use jayreach::{
     decide::{fingerprint::Fingerprint, life::EndpointId, quarantine::Case},
     proxy::{
-        guard::ledger::{Known, Ledger, Purpose, Running},
+        guard::ledger::{ActiveRun, GrantLedger, GrantStatus, GrantedWork},
         message::{Grant, NotRun, RunEnd, Unknown},
     },
 };
@@ -36,14 +36,14 @@
     EndpointId { name: "i".into(), born: Some(1) }
 }
 
-fn purpose() -> Purpose {
-    Purpose {
+fn work() -> GrantedWork {
+    GrantedWork {
         route: "r".into(),
         fingerprint: Fingerprint::default(),
-        released: false,
+        quarantine_trial: false,
         idempotent: false,
-        repeat_share: 0.0,
-        trial: false,
+        retry_share: 0.0,
+        endpoint_trial: false,
     }
 }
 
@@ -56,7 +56,7 @@
 struct World {
     rng: SmallRng,
     now: Instant,
-    guards: [Ledger; 2],
+    guards: [GrantLedger; 2],
     /// In flight; delivered in any order, perhaps twice, perhaps never.
     messages: Vec<Message>,
     /// Places in use, by guard: the endpoint may still be working.
@@ -78,7 +78,7 @@
         Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Instant::now(),
-            guards: [Ledger::new(1), Ledger::new(2)],
+            guards: [GrantLedger::new(1), GrantLedger::new(2)],
             messages: Vec::new(),
             working: Vec::new(),
             runs: 0,
@@ -87,21 +87,21 @@
     }
 
     fn offer(&mut self, guard: usize) -> Grant {
-        let purpose = purpose();
-        self.guards[guard].offer(endpoint(), purpose)
+        let work = work();
+        self.guards[guard].issue(endpoint(), work)
     }
 
     fn begin(&mut self, guard: usize, grant: &Grant) {
-        let running = Running {
-            repeat_share: 0.0,
-            known: Case::default(),
-            begun: self.now,
-            until: self.now,
+        let running = ActiveRun {
+            retry_share: 0.0,
+            case_at_start: Case::default(),
+            started_at: self.now,
+            deadline: self.now,
             failed_calls: Vec::new(),
-            explained: false,
+            failure_explained: false,
         };
         let used_again = self.fault == Fault::UsedAgain && grant.guard == guard as u64 + 1;
-        if self.guards[guard].begin(grant, running).is_some() || used_again {
+        if self.guards[guard].start_run(grant, running).is_some() || used_again {
             self.runs += 1;
             self.working.push((guard, grant.clone()));
         }
@@ -109,18 +109,18 @@
 
     /// A guard's answer to the question what became of a place.
     fn ask(&mut self, guard: usize, grant: &Grant) -> Option<RunEnd> {
-        match self.guards[guard].look_up(grant) {
-            Known::Offered => {
+        match self.guards[guard].status(grant) {
+            GrantStatus::Unused => {
                 let end = RunEnd::NotRun(NotRun::NoGrant);
                 if self.fault != Fault::NotTakenBack {
                     self.guards[guard].end(grant.id, end.clone(), self.now);
                 }
                 Some(end)
             }
-            Known::Running => None,
-            Known::Ended(it) => Some(it),
-            Known::Unknown if self.fault == Fault::ForgottenIsUnused => Some(RunEnd::NotRun(NotRun::NoGrant)),
-            Known::Unknown => Some(RunEnd::Unknown(Unknown::GuardGone)),
+            GrantStatus::Running => None,
+            GrantStatus::Ended(it) => Some(it),
+            GrantStatus::Unknown if self.fault == Fault::ForgottenIsUnused => Some(RunEnd::NotRun(NotRun::NoGrant)),
+            GrantStatus::Unknown => Some(RunEnd::Unknown(Unknown::GuardGone)),
         }
     }
 
@@ -147,13 +147,13 @@
             6 => {
                 let guard = self.rng.random_range(0..2);
                 // Places that are not used in time are taken back.
-                for id in self.guards[guard].offered() {
+                for id in self.guards[guard].unused_grants() {
                     self.guards[guard].end(id, RunEnd::NotRun(NotRun::NoGrant), self.now);
                 }
             }
             7 if self.rng.random_bool(0.2) => {
                 let guard = self.rng.random_range(0..2);
-                self.guards[guard] = Ledger::new(self.rng.random_range(10..u64::MAX));
+                self.guards[guard] = GrantLedger::new(self.rng.random_range(10..u64::MAX));
                 self.working.retain(|it| it.0 != guard);
             }
             _ => (),
@@ -232,16 +232,16 @@
 
 #[test]
 fn an_end_is_remembered_for_a_while_and_then_unknown() {
-    let (now, mut ledger) = (Instant::now(), Ledger::new(1));
-    let purpose = purpose();
-    let grant = ledger.offer(endpoint(), purpose.clone());
-    let other = ledger.offer(endpoint(), purpose);
+    let (now, mut ledger) = (Instant::now(), GrantLedger::new(1));
+    let work = work();
+    let grant = ledger.issue(endpoint(), work.clone());
+    let other = ledger.issue(endpoint(), work);
 
     ledger.end(grant.id, RunEnd::NotRun(NotRun::Declined), now);
-    let soon = ledger.look_up(&grant);
+    let soon = ledger.status(&grant);
     ledger.end(other.id, RunEnd::NotRun(NotRun::NoGrant), now + Duration::from_secs(30));
 
-    assert_eq!(soon, Known::Ended(RunEnd::NotRun(NotRun::Declined)));
-    assert_eq!(ledger.look_up(&grant), Known::Unknown);
+    assert_eq!(soon, GrantStatus::Ended(RunEnd::NotRun(NotRun::Declined)));
+    assert_eq!(ledger.status(&grant), GrantStatus::Unknown);
     assert!(ledger.is_empty());
 }
