--- a/src/platform/announce.rs
+++ b/src/platform/announce.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     decide::life::{EndpointId, UnixMillis},
-    proxy::guard::{Announced, EndpointPhase},
+    proxy::guard::{Announcement, EndpointPhase},
 };
 
 /// A call of an endpoint, by method and path.
@@ -70,19 +70,19 @@
 /// # Errors
 ///
 /// A body that is not a heartbeat, with what is wrong and where.
-pub fn announced(id: &str, body: &[u8], now: UnixMillis) -> Result<Announced, serde_json::Error> {
+pub fn announced(id: &str, body: &[u8], now: UnixMillis) -> Result<Announcement, serde_json::Error> {
     let it: Heartbeat = serde_json::from_slice(body)?;
     let phase = match it.state {
         State::Ready => EndpointPhase::Serving,
         State::Draining => EndpointPhase::Leaving,
     };
-    Ok(Announced {
+    Ok(Announcement {
         id: EndpointId::new(id, it.born, now),
         service: it.service,
         address: it.address,
         slots: it.slots,
         phase,
-        cold_for: Duration::try_from_secs_f64(it.warmup_left_s).unwrap_or_default(),
+        warmup_left: Duration::try_from_secs_f64(it.warmup_left_s).unwrap_or_default(),
         sequence: it.sequence,
     })
 }
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -16,7 +16,7 @@
         Proxy, client, clock,
         directory::Row,
         events::Event,
-        guard::{Announced, EndpointPhase, Heard},
+        guard::{Announcement, AnnouncementEffect, EndpointPhase},
         ingress, net,
         peer::Link,
         peers,
@@ -86,8 +86,8 @@
     async fn tell_slots(self: Rc<Self>) {
         loop {
             sleep(SLOTS_EVERY).await;
-            let Some(endpoint) = self.guard.serving() else { continue };
-            let uses = self.guard.slot_ms();
+            let Some(endpoint) = self.guard.serving_endpoint() else { continue };
+            let uses = self.guard.slot_time_ms();
             self.events.emit(&Event::Slots { service: &endpoint.service, slots: endpoint.slots, uses: &uses });
         }
     }
@@ -110,7 +110,7 @@
                     metrics::gauge!("jayreach_config_confirmed_seconds_ago").set(it.as_secs_f64());
                 }
                 metrics::gauge!("jayreach_config_watching").set(f64::from(u8::from(self.watching.get())));
-                for (on, millis) in self.guard.slot_ms() {
+                for (on, millis) in self.guard.slot_time_ms() {
                     metrics::counter!("jayreach_slot_milliseconds_total", "use" => on).absolute(millis);
                 }
                 answer(StatusCode::OK, self.metrics.render())
@@ -128,7 +128,7 @@
             directory.members().map(|it| row_status(it.1, self.link(&it.1.daemon).as_deref())).collect();
         let mut row = row_status(directory.own(), None);
         row["version"] = self.version().into();
-        if let Some(it) = self.guard.serving() {
+        if let Some(it) = self.guard.serving_endpoint() {
             row["endpoint"]["standing"] = serde_json::json!(it.standing);
         }
         let status = serde_json::json!({
@@ -147,7 +147,7 @@
     async fn find_endpoint(self: Rc<Self>) {
         sleep(FIND_AFTER).await;
         for _ in 0..FIND_TRIES {
-            if !self.guard.is_without_endpoint() {
+            if !self.guard.has_no_endpoint() {
                 return;
             }
             self.ask_health().await;
@@ -162,13 +162,13 @@
         let path = config.as_ref().and_then(|it| it.health_path(&settings.service));
         let health = platform::health(settings.endpoint, path, HEALTH_TIMEOUT).await;
         let Some((id, slots)) = health else { return };
-        self.guard.found(Announced {
+        self.guard.handle_health_reply(Announcement {
             id: EndpointId { name: id, born: None },
             service: settings.service.clone(),
             address: settings.endpoint,
             slots,
             phase: EndpointPhase::Serving,
-            cold_for: Duration::ZERO,
+            warmup_left: Duration::ZERO,
             sequence: 0,
         });
     }
@@ -212,7 +212,7 @@
             Err(error) => skip(&proxy, &id, &error.to_string()),
         },
         AnnounceCall::Deregister(id) => {
-            proxy.guard.deregistered(platform::deregistered(&id, &body, now));
+            proxy.guard.handle_deregistration(platform::deregistered(&id, &body, now));
             json(StatusCode::OK, "{}")
         }
     }
@@ -220,13 +220,13 @@
 
 impl Proxy {
     /// Takes in a heartbeat, if it tells of the endpoint beside this proxy.
-    fn take_heartbeat(self: &Rc<Self>, it: Announced) -> Answer {
+    fn take_heartbeat(self: &Rc<Self>, it: Announcement) -> Answer {
         let settings = Rc::clone(&self.settings.borrow());
         if it.service != settings.service || it.address != settings.endpoint {
             let why = format!("this VM's endpoint is {} of {}", settings.endpoint, settings.service);
             return skip(self, &it.id.name, &why);
         }
-        if self.guard.announced(it) == Heard::Doubtful {
+        if self.guard.handle_announcement(it) == AnnouncementEffect::Conflicting {
             let proxy = Rc::clone(self);
             spawn_local(async move { proxy.ask_health().await });
         }
--- a/src/proxy/guard/announcements.rs
+++ b/src/proxy/guard/announcements.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Instant};
 
-use super::{Announced, Endpoint, EndpointPhase, Guard, Heard, State};
+use super::{Announcement, AnnouncementEffect, Endpoint, EndpointPhase, Guard, State};
 use crate::{
     decide::{
         life::{self, EndpointId, KnownLife, SILENT_BEATS, Verdict, is_retired},
@@ -21,25 +21,25 @@
 
 impl Guard {
     /// Takes in an announcement.
-    pub fn announced(self: &Rc<Self>, it: Announced) -> Heard {
+    pub fn handle_announcement(self: &Rc<Self>, it: Announcement) -> AnnouncementEffect {
         let verdict = self.judge(&it);
         match verdict {
-            Verdict::Late => Heard::Known,
+            Verdict::Late => AnnouncementEffect::Unchanged,
             Verdict::Same => self.heard_again(&it),
             Verdict::Later => {
                 self.replace(it, "announced");
-                Heard::Changed
+                AnnouncementEffect::Changed
             }
             Verdict::Doubtful => {
                 if it.phase == EndpointPhase::Leaving {
                     retire(&mut self.state.borrow_mut(), it.id);
                 }
-                Heard::Doubtful
+                AnnouncementEffect::Conflicting
             }
         }
     }
 
-    fn judge(&self, it: &Announced) -> Verdict {
+    fn judge(&self, it: &Announcement) -> Verdict {
         let state = self.state.borrow();
         let known = state.endpoint.as_ref().map(|known| KnownLife {
             id: &known.announced.id,
@@ -56,9 +56,9 @@
     }
 
     /// The known life of the endpoint announced itself once more.
-    fn heard_again(self: &Rc<Self>, it: &Announced) -> Heard {
+    fn heard_again(self: &Rc<Self>, it: &Announcement) -> AnnouncementEffect {
         let mut state = self.state.borrow_mut();
-        let Some(known) = &mut state.endpoint else { return Heard::Known };
+        let Some(known) = &mut state.endpoint else { return AnnouncementEffect::Unchanged };
         known.heard = clock::now();
         known.announced.sequence = it.sequence;
         known.announced.slots = it.slots;
@@ -70,17 +70,17 @@
         let id = known.announced.id.clone();
         drop(state);
         if leaves {
-            self.leave(&id, "announced");
-            return Heard::Changed;
+            self.mark_leaving(&id, "announced");
+            return AnnouncementEffect::Changed;
         }
         if says_its_start {
-            self.changed.notify_one();
+            self.row_changed.notify_one();
         }
-        Heard::Known
+        AnnouncementEffect::Unchanged
     }
 
     /// Takes in what the endpoint's address answered to a health question, which does not tell its life.
-    pub fn found(self: &Rc<Self>, it: Announced) {
+    pub fn handle_health_reply(self: &Rc<Self>, it: Announcement) {
         let mut state = self.state.borrow_mut();
         if let Some(known) = &mut state.endpoint
             && known.announced.id.name == it.id.name
@@ -95,7 +95,7 @@
         self.replace(it, "found by health");
     }
 
-    fn replace(self: &Rc<Self>, it: Announced, why: &str) {
+    fn replace(self: &Rc<Self>, it: Announcement, why: &str) {
         let now = clock::now();
         self.events.emit(&Event::Endpoint {
             id: &it.id.name,
@@ -107,7 +107,7 @@
         });
         let mut state = self.state.borrow_mut();
         let pool = Rc::new(EndpointPool::new(it.address));
-        let cold_until = now + it.cold_for;
+        let cold_until = now + it.warmup_left;
         let next = Endpoint { announced: it, pool, record: Record::default(), heard: now, cold_until };
         if let Some(before) = state.endpoint.replace(next) {
             retire(&mut state, before.announced.id);
@@ -116,25 +116,25 @@
             }
         }
         drop(state);
-        self.changed.notify_one();
-        self.pump();
+        self.row_changed.notify_one();
+        self.issue_grants();
     }
 
     /// The endpoint `name` says that it is gone, in the life that began at `born` if it says so.
-    pub fn deregistered(self: &Rc<Self>, told: EndpointId) {
+    pub fn handle_deregistration(self: &Rc<Self>, told: EndpointId) {
         let known = self.state.borrow().endpoint.as_ref().map(|it| it.announced.id.clone());
         match known {
             // What a later life says ends an earlier one as well.
             Some(it) if it.name == told.name && (told.born.is_none() || told.born >= it.born) => {
-                self.leave(&it, "deregistered");
+                self.mark_leaving(&it, "deregistered");
                 retire(&mut self.state.borrow_mut(), told);
             }
-            Some(_) | None => self.leave(&told, "deregistered"),
+            Some(_) | None => self.mark_leaving(&told, "deregistered"),
         }
     }
 
     /// The endpoint `id` leaves: from now on it gets no new work.
-    pub fn leave(self: &Rc<Self>, id: &EndpointId, why: &str) {
+    pub fn mark_leaving(self: &Rc<Self>, id: &EndpointId, why: &str) {
         let mut state = self.state.borrow_mut();
         match &mut state.endpoint {
             Some(known) if known.announced.id == *id => {
@@ -154,41 +154,41 @@
         let offered = state.ledger.unused_grants();
         drop(state);
         for grant in offered {
-            self.end(grant, RunEnd::NotRun(NotRun::NoGrant));
+            self.end_grant(grant, RunEnd::NotRun(NotRun::NoGrant));
         }
-        self.changed.notify_one();
-        self.pump();
+        self.row_changed.notify_one();
+        self.issue_grants();
     }
 
     /// A crashed endpoint says nothing; two signs together are enough.
-    pub(super) fn forget_if_silent(self: &Rc<Self>, id: &EndpointId) {
+    pub(super) fn mark_leaving_if_silent(self: &Rc<Self>, id: &EndpointId) {
         let state = self.state.borrow();
         let Some(endpoint) = state.endpoint.as_ref().filter(|it| it.announced.id == *id) else { return };
         let silent = self.silent_beats(endpoint) >= SILENT_BEATS;
         drop(state);
         if silent {
-            self.leave(id, "silent and unreachable");
+            self.mark_leaving(id, "silent and unreachable");
         }
     }
 
     /// Gives places only to work that is likely to end before `ends`; at once none if the endpoint may be gone.
-    pub fn stop_soon(self: &Rc<Self>, ends: Instant) {
+    pub fn drain_until(self: &Rc<Self>, ends: Instant) {
         let mut state = self.state.borrow_mut();
         state.ends = Some(ends);
         let heard = state.endpoint.as_ref().map(|it| it.heard);
         drop(state);
         if heard.is_none_or(|it| clock::now().saturating_duration_since(it) > self.announce_every * 2) {
-            self.stop();
+            self.stop_granting();
         } else {
-            self.pump();
+            self.issue_grants();
         }
     }
 
     /// Stops giving places: all that wait are sent elsewhere.
-    pub fn stop(self: &Rc<Self>) {
+    pub fn stop_granting(self: &Rc<Self>) {
         let id = self.state.borrow().endpoint.as_ref().map(|it| it.announced.id.clone());
         if let Some(id) = id {
-            self.leave(&id, "this proxy stops");
+            self.mark_leaving(&id, "this proxy stops");
         }
     }
 }
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -20,7 +20,7 @@
 
 impl Guard {
     /// Where a request of this VM of the class `route`, for `service`, began that expires at `until`.
-    pub fn origin(&self, route: &str, service: &str, until: Instant) -> Origin {
+    pub fn classify_origin(&self, route: &str, service: &str, until: Instant) -> Origin {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let State { ledger, lingering, origins, calls, .. } = &mut *state;
@@ -45,7 +45,7 @@
     }
 
     /// The classes of those of `works` that run here, or may go on.
-    pub fn routes_of(&self, works: &[GrantId]) -> Vec<RouteName> {
+    pub fn routes_of_grants(&self, works: &[GrantId]) -> Vec<RouteName> {
         let state = self.state.borrow();
         let running = state.ledger.active_runs();
         let gone_on = state.lingering.iter().filter_map(GrantEntry::as_active_run);
@@ -54,12 +54,12 @@
     }
 
     /// Whether callers use `route`, as far as its requests for places here say.
-    pub fn is_callers_route(&self, route: &str) -> Option<bool> {
+    pub fn callers_use_route(&self, route: &str) -> Option<bool> {
         self.state.borrow().origins.says(route)
     }
 
     /// Takes in whether callers use `route`, as a guard of its service says.
-    pub fn tell_callers_route(&self, route: &str, is_callers: bool) {
+    pub fn set_callers_use_route(&self, route: &str, is_callers: bool) {
         self.state.borrow_mut().origins.tell(route, is_callers);
     }
 
@@ -72,12 +72,12 @@
     }
 
     /// Whether work of `route` called a service here for which `tight` holds.
-    pub fn calls_any(&self, route: &str, tight: impl Fn(&str) -> bool) -> bool {
+    pub fn calls_matching_service(&self, route: &str, tight: impl Fn(&str) -> bool) -> bool {
         self.state.borrow().calls.iter().any(|it| *it.0 == *route && tight(&it.1))
     }
 
     /// A call of one of `parents`, which run here, was not answered well.
-    pub fn call_failed(&self, parents: &[GrantId]) {
+    pub fn record_failed_call(&self, parents: &[GrantId]) {
         let mut state = self.state.borrow_mut();
         state.last_failed_call += 1;
         let call = state.last_failed_call;
@@ -87,7 +87,7 @@
 
 impl State {
     /// Remembers work that may go on at the endpoint.
-    pub(super) fn keep_lingering(&mut self, given: GrantEntry, now: Instant) {
+    pub(super) fn keep_unfinished(&mut self, given: GrantEntry, now: Instant) {
         self.lingering.retain(|it| it.active_run.as_ref().is_some_and(|it| now < it.deadline));
         if self.lingering.len() < LINGERING_KEPT {
             self.lingering.push(given);
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -41,7 +41,7 @@
 
 /// What an endpoint says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Announced {
+pub struct Announcement {
     /// Which life of it.
     pub id: EndpointId,
     /// Its service.
@@ -53,7 +53,7 @@
     /// Whether it takes work.
     pub phase: EndpointPhase,
     /// How much longer it is slow after its start.
-    pub cold_for: Duration,
+    pub warmup_left: Duration,
     /// Goes up with each announcement of one life.
     pub sequence: u64,
 }
@@ -78,27 +78,27 @@
 
 /// What the proxy knows beyond its guard that bears on a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct ReservationContext {
     /// How many guards share the allowance of the service.
-    pub guards: usize,
+    pub service_guards: usize,
     /// A service that such work calls has no allowance left: a repeat would call it again.
-    pub calls_tight: bool,
+    pub callee_budget_exhausted: bool,
 }
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum AnnouncementEffect {
     /// Nothing, or only when it was heard last.
-    Known,
+    Unchanged,
     /// The endpoint, or whether it takes work.
     Changed,
     /// It names another endpoint while the known one seems alive: ask at the address.
-    Doubtful,
+    Conflicting,
 }
 
 /// An endpoint that takes work.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Serving {
+pub struct ServingEndpoint {
     /// Which life of it.
     pub id: EndpointId,
     /// Its service.
@@ -110,7 +110,7 @@
 }
 
 struct Endpoint {
-    announced: Announced,
+    announced: Announcement,
     pool: Rc<EndpointPool>,
     record: Record,
     heard: Instant,
@@ -192,9 +192,9 @@
     /// Some run ended.
     run_ended: Notify,
     /// The row of this proxy must be told anew.
-    pub(super) changed: Notify,
+    pub(super) row_changed: Notify,
     /// The endpoint's standing changed.
-    pub(super) turned: Notify,
+    pub(super) standing_changed: Notify,
     /// Something is known anew against requests.
     pub(super) cases_changed: Notify,
 }
@@ -225,17 +225,17 @@
                 last_waiter: 0,
             }),
             run_ended: Notify::new(),
-            changed: Notify::new(),
-            turned: Notify::new(),
+            row_changed: Notify::new(),
+            standing_changed: Notify::new(),
             cases_changed: Notify::new(),
         }
     }
 
     /// The endpoint, while it takes work.
-    pub fn serving(&self) -> Option<Serving> {
+    pub fn serving_endpoint(&self) -> Option<ServingEndpoint> {
         let state = self.state.borrow();
         let it = state.serving()?;
-        Some(Serving {
+        Some(ServingEndpoint {
             id: it.announced.id.clone(),
             service: it.announced.service.clone(),
             slots: it.announced.slots,
@@ -250,7 +250,7 @@
 
     /// The endpoint as it stands in this proxy's row.
     pub fn endpoint_row(&self) -> Option<EndpointRow> {
-        self.serving().map(|it| EndpointRow { id: it.id, slots: it.slots })
+        self.serving_endpoint().map(|it| EndpointRow { id: it.id, slots: it.slots })
     }
 
     /// Requests at the endpoint or permitted, and requests that wait.
@@ -260,17 +260,17 @@
     }
 
     /// Whether no repeat may arrive now.
-    pub fn allowance_used(&self) -> bool {
+    pub fn retry_budget_exhausted(&self) -> bool {
         self.state.borrow().allowance.is_used_up()
     }
 
     /// How many runs are under way.
-    pub fn running(&self) -> usize {
+    pub fn open_grants(&self) -> usize {
         self.state.borrow().ledger.len()
     }
 
     /// Milliseconds of slot time by use, since the start of this process.
-    pub fn slot_ms(&self) -> Vec<(&'static str, u64)> {
+    pub fn slot_time_ms(&self) -> Vec<(&'static str, u64)> {
         let mut state = self.state.borrow_mut();
         state.account(clock::now());
         let millis = |it: Use| u64::try_from(state.slot_time.sum(it).as_millis()).unwrap_or(u64::MAX);
@@ -278,7 +278,7 @@
     }
 
     /// Whether no endpoint is known.
-    pub fn is_without_endpoint(&self) -> bool {
+    pub fn has_no_endpoint(&self) -> bool {
         self.state.borrow().endpoint.is_none()
     }
 }
--- a/src/proxy/guard/quarantine.rs
+++ b/src/proxy/guard/quarantine.rs
@@ -14,7 +14,7 @@
 
 /// Who says something of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::proxy) enum Source {
+pub(in crate::proxy) enum CaseSource {
     /// This VM's endpoint ended under it.
     Ended,
     /// This VM's endpoint answered it well.
@@ -27,7 +27,7 @@
     Trial,
 }
 
-impl Source {
+impl CaseSource {
     /// As written in events.
     fn name(self) -> &'static str {
         match self {
@@ -47,18 +47,18 @@
     }
 
     /// What is known against a request that has just come.
-    pub fn came(&self, fingerprint: Fingerprint) -> Case {
+    pub fn note_request(&self, fingerprint: Fingerprint) -> Case {
         self.state.borrow_mut().quarantine.came(fingerprint, clock::now())
     }
 
     /// Takes in what a guard said of a request.
-    pub(in crate::proxy) fn take_case(self: &Rc<Self>, fingerprint: Fingerprint, case: Case) {
+    pub(in crate::proxy) fn merge_case(self: &Rc<Self>, fingerprint: Fingerprint, case: Case) {
         let told = ToldCase { fingerprint, case, age: Duration::ZERO };
-        self.take_cases(&[told], Source::Peer);
+        self.merge_cases(&[told], CaseSource::Peer);
     }
 
     /// Takes in what others know against requests.
-    pub(in crate::proxy) fn take_cases(self: &Rc<Self>, cases: &[ToldCase], source: Source) {
+    pub(in crate::proxy) fn merge_cases(self: &Rc<Self>, cases: &[ToldCase], source: CaseSource) {
         let now = clock::now();
         for it in cases {
             let mut state = self.state.borrow_mut();
@@ -72,7 +72,7 @@
     }
 
     /// The endpoint ended: all its work may be to blame.
-    pub(super) fn blame_work_at(self: &Rc<Self>, endpoint: &EndpointId) {
+    pub(super) fn add_crash_evidence(self: &Rc<Self>, endpoint: &EndpointId) {
         let mut state = self.state.borrow_mut();
         let State { ledger, quarantine, .. } = &mut *state;
         let work: Vec<(Fingerprint, Case)> =
@@ -81,12 +81,12 @@
         let news = quarantine.end_under(&work, clock::now());
         drop(state);
         for (fingerprint, held) in before.into_iter().filter(|it| news.contains(&it.0)) {
-            self.note_news(fingerprint, held, Source::Ended);
+            self.note_news(fingerprint, held, CaseSource::Ended);
         }
     }
 
     /// Says that the endpoint ended while it had this work.
-    pub(super) fn tell_ended(&self, grant: &Grant, request: &str, ran: Duration) {
+    pub(super) fn emit_ended_under(&self, grant: &Grant, request: &str, ran: Duration) {
         let state = self.state.borrow();
         let Some(given) = state.ledger.entry(grant.id) else { return };
         let fingerprint = given.work.fingerprint;
@@ -102,18 +102,18 @@
     }
 
     /// The endpoint answered a request well.
-    pub(super) fn answered_well(self: &Rc<Self>, fingerprint: Fingerprint) {
+    pub(super) fn add_success_evidence(self: &Rc<Self>, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
         let before = state.quarantine.case(fingerprint).is_held();
         let is_news = state.quarantine.answered_well(fingerprint, clock::now());
         drop(state);
         if is_news {
-            self.note_news(fingerprint, before, Source::Answered);
+            self.note_news(fingerprint, before, CaseSource::Answered);
         }
     }
 
     /// The cases of which there is something to tell, once.
-    pub(in crate::proxy) fn take_quarantine_news(&self) -> Vec<ToldCase> {
+    pub(in crate::proxy) fn take_changed_cases(&self) -> Vec<ToldCase> {
         let mut state = self.state.borrow_mut();
         let mut news = std::mem::take(&mut state.quarantine_news);
         news.sort_unstable();
@@ -133,30 +133,30 @@
     }
 
     /// Forgets cases that are over.
-    pub(in crate::proxy) fn forget_cases(&self) {
+    pub(in crate::proxy) fn remove_expired_cases(&self) {
         self.state.borrow_mut().quarantine.forget(clock::now());
     }
 
     /// How long until a request that is held back may have its next trial; `None` if it has had all.
-    pub(in crate::proxy) fn trial_in(&self, fingerprint: Fingerprint) -> Option<Duration> {
+    pub(in crate::proxy) fn time_to_next_trial(&self, fingerprint: Fingerprint) -> Option<Duration> {
         self.state.borrow().quarantine.trial_in(fingerprint, clock::now())
     }
 
     /// The next trial of a request is due after its whole pause from now.
-    pub(in crate::proxy) fn put_off_trial(&self, fingerprint: Fingerprint) {
+    pub(in crate::proxy) fn postpone_trial(&self, fingerprint: Fingerprint) {
         self.state.borrow_mut().quarantine.put_off_trial(fingerprint, clock::now());
     }
 
     /// The requests of which this VM's endpoint showed that they are to be held back, or no longer, once.
-    pub(in crate::proxy) fn take_found(&self) -> Vec<Fingerprint> {
+    pub(in crate::proxy) fn take_cases_to_store(&self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.state.borrow_mut().quarantine_found)
     }
 
     /// Has a changed case told to others, and lets work begin, or not, as it now should.
-    fn note_news(self: &Rc<Self>, fingerprint: Fingerprint, was_held: bool, source: Source) {
+    fn note_news(self: &Rc<Self>, fingerprint: Fingerprint, was_held: bool, source: CaseSource) {
         let mut state = self.state.borrow_mut();
         state.quarantine_news.push(fingerprint);
-        if matches!(source, Source::Ended | Source::Answered) {
+        if matches!(source, CaseSource::Ended | CaseSource::Answered) {
             state.quarantine_found.push(fingerprint);
         }
         let case = state.quarantine.case(fingerprint);
@@ -170,6 +170,6 @@
             self.events.emit(&Event::Quarantine { fingerprint, held, evidence, source });
         }
         self.cases_changed.notify_one();
-        self.pump();
+        self.issue_grants();
     }
 }
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -7,7 +7,7 @@
 
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
-use super::{EndpointPhase, Guard, PlaceSender, State, Surroundings, count, ledger::GrantedWork};
+use super::{EndpointPhase, Guard, PlaceSender, ReservationContext, State, count, ledger::GrantedWork};
 use crate::{
     decide::{
         allowance::Repeat,
@@ -27,17 +27,17 @@
 
 impl Guard {
     /// Waits for a place. Dropping the future takes the wish, or the place, back.
-    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: Surroundings) -> Result<Grant, Refusal> {
-        self.take_case(req.fingerprint, req.case);
+    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: ReservationContext) -> Result<Grant, Refusal> {
+        self.merge_case(req.fingerprint, req.case);
         let (tx, rx) = oneshot::channel();
         let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
         let mut wish = Wish { guard: self, id, rx };
-        self.pump();
+        self.issue_grants();
         (&mut wish.rx).await.unwrap_or(Err(Refusal::Elsewhere))
     }
 
     /// Gives free places to those that wait, in order, and turns those away that can't begin here.
-    pub(super) fn pump(self: &Rc<Self>) {
+    pub(super) fn issue_grants(self: &Rc<Self>) {
         let now = clock::now();
         let mut offered = Vec::new();
         {
@@ -60,7 +60,7 @@
             sleep(GRANT_TTL).await;
             let unused = guard.state.borrow().ledger.unused_grants().contains(&id);
             if unused {
-                guard.end(id, RunEnd::NotRun(NotRun::NoGrant));
+                guard.end_grant(id, RunEnd::NotRun(NotRun::NoGrant));
             }
         });
     }
@@ -71,7 +71,7 @@
     fn admit(
         &mut self,
         req: &Reserve,
-        known: Surroundings,
+        known: ReservationContext,
         tx: PlaceSender,
         now: Instant,
     ) -> Result<WaiterId, Refusal> {
@@ -89,11 +89,11 @@
         }
         // The guards of a service know better than an ingress whether callers use a route.
         let call = req.call && self.origins.says(&req.route) != Some(true);
-        self.allowance.share_with(known.guards);
+        self.allowance.share_with(known.service_guards);
         if req.arrival == Arrival::Repeat {
             let repeat = Repeat { rank: req.rank, call };
             self.allowance.want(repeat, now);
-            if known.calls_tight || !self.allowance.allows(repeat, now) {
+            if known.callee_budget_exhausted || !self.allowance.allows(repeat, now) {
                 return Err(Refusal::NoAllowance);
             }
         }
@@ -199,7 +199,7 @@
     fn drop(&mut self) {
         // A place that was given and not taken yet is free again.
         if let Ok(Ok(grant)) = self.rx.try_recv() {
-            self.guard.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.guard.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
             return;
         }
         let mut state = self.guard.state.borrow_mut();
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -108,7 +108,7 @@
                 *head.uri_mut() = target;
             }
             (Err(_), _) | (_, Err(_)) => {
-                self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+                self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
                 return RunEnd::NotRun(NotRun::NoGrant);
             }
         }
@@ -129,7 +129,7 @@
             work.await
         };
         self.learn(&grant, &end, &request, start, left);
-        self.end(grant.id, end.clone());
+        self.end_grant(grant.id, end.clone());
         end
     }
 
@@ -145,7 +145,7 @@
         drop(state);
         let (sample, why) = match end {
             RunEnd::Answered { status, .. } if *status < 500 => {
-                self.answered_well(fingerprint);
+                self.add_success_evidence(fingerprint);
                 self.state.borrow_mut().pace.record(&route, took);
                 (Sample::Good, "answered")
             }
@@ -154,18 +154,18 @@
             RunEnd::Answered { .. } => (failure, "failed"),
             RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) | RunEnd::NotRun(NotRun::NoGrant) => return,
             RunEnd::Unknown(Unknown::Ended) => {
-                self.blame_work_at(&grant.endpoint);
-                self.tell_ended(grant, request, took);
+                self.add_crash_evidence(&grant.endpoint);
+                self.emit_ended_under(grant, request, took);
                 (Sample::Bad, "ended")
             }
             RunEnd::Unknown(Unknown::Broken | Unknown::Garbled) => (failure, "broken"),
             RunEnd::NotRun(NotRun::Declined) => (Sample::Declined, "declined"),
             RunEnd::NotRun(NotRun::NoConnection) => {
-                self.forget_if_silent(&grant.endpoint);
+                self.mark_leaving_if_silent(&grant.endpoint);
                 (Sample::Bad, "no connection")
             }
             RunEnd::NotRun(NotRun::OtherInstance) => {
-                self.leave(&grant.endpoint, "another instance answered");
+                self.mark_leaving(&grant.endpoint, "another instance answered");
                 return;
             }
         };
@@ -185,12 +185,12 @@
         if turned {
             self.events.emit(&Event::Standing { endpoint: &id.name, standing, request, why });
             metrics::counter!("jayreach_standing_changes_total", "to" => standing.name()).increment(1);
-            self.turned.notify_one();
+            self.standing_changed.notify_one();
         }
     }
 
     /// Gives a place back and remembers what became of it.
-    pub(super) fn end(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
+    pub(super) fn end_grant(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let unused = end == RunEnd::NotRun(NotRun::NoGrant);
@@ -205,18 +205,18 @@
             state.allowance.refund(given.work.retry_share);
         }
         if may_go_on {
-            state.keep_lingering(given, now);
+            state.keep_unfinished(given, now);
         }
         drop(state);
         self.run_ended.notify_waiters();
-        self.pump();
+        self.issue_grants();
     }
 
     /// What became of a place; one that was not used yet is taken back.
-    pub async fn ask(self: &Rc<Self>, grant: &Grant) -> RunEnd {
+    pub async fn query_run_end(self: &Rc<Self>, grant: &Grant) -> RunEnd {
         let known = self.state.borrow().ledger.status(grant);
         if known == GrantStatus::Unused {
-            self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
         }
         timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(Unknown::Silent))
     }
@@ -254,6 +254,6 @@
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        self.guard.end(self.grant, RunEnd::Unknown(Unknown::Silent));
+        self.guard.end_grant(self.grant, RunEnd::Unknown(Unknown::Silent));
     }
 }
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -33,7 +33,7 @@
         let mut tried: Vec<EndpointId> = Vec::new();
         let mut last: Option<Verdict> = None;
         let mut moves = 0;
-        if self.guard.came(job.fingerprint).is_held() {
+        if self.guard.note_request(job.fingerprint).is_held() {
             job.released.set(self.begin_trial(job.fingerprint).await);
         }
         loop {
@@ -188,7 +188,7 @@
         match link.call::<_, Ran>(path::RUN, &run).await {
             Ok(it) => {
                 self.take_news(it.news);
-                self.guard.take_case(job.fingerprint, it.case);
+                self.guard.merge_case(job.fingerprint, it.case);
                 it.end
             }
             Err(LinkError::NotConnected) => RunEnd::NotRun(NotRun::NoGrant),
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -25,7 +25,7 @@
         Proxy, client, clock,
         directory::ProxyName,
         events::{Answered, Event},
-        guard::Surroundings,
+        guard::ReservationContext,
         headers,
         message::{Arrival, Grant, Reserve, Whole},
         peer::Link,
@@ -194,7 +194,7 @@
     let service = proxy.deal(route);
     let credentials = head.headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
     let target = head.uri.path_and_query().map_or("/", |it| it.as_str());
-    let origin = proxy.guard.origin(&route.name, &service, caller_deadline);
+    let origin = proxy.guard.classify_origin(&route.name, &service, caller_deadline);
     let job = Job {
         rank: proxy.rank(&config, route, &origin),
         origin,
@@ -249,11 +249,11 @@
 
 impl Proxy {
     /// What this proxy knows that bears on a place at its guard.
-    pub(super) fn surroundings(&self, req: &Reserve) -> Surroundings {
+    pub(super) fn reservation_context(&self, req: &Reserve) -> ReservationContext {
         let tight = |service: &str| self.allowance_used(service);
-        Surroundings {
-            guards: self.directory.borrow_mut().guards_of(&req.service),
-            calls_tight: self.guard.calls_any(&req.route, tight),
+        ReservationContext {
+            service_guards: self.directory.borrow_mut().guards_of(&req.service),
+            callee_budget_exhausted: self.guard.calls_matching_service(&req.route, tight),
         }
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// A guard of `service` told whether its allowance for repeats is used up.
-    pub(super) fn note_allowance(&self, service: &str, used: bool) {
+    pub(super) fn note_retry_budget(&self, service: &str, used: bool) {
         if !used {
             return;
         }
@@ -279,7 +279,7 @@
     /// How urgent a request is: a call is as urgent as the most urgent work that may have made it.
     fn rank(&self, config: &Config, route: &Route, origin: &Origin) -> u32 {
         let Origin::Call { parents, .. } = origin else { return route.rank };
-        let parents = self.guard.routes_of(parents);
+        let parents = self.guard.routes_of_grants(parents);
         let ranks = config.routes().iter().filter(|it| parents.contains(&it.name)).map(|it| it.rank);
         ranks.min().unwrap_or(route.rank)
     }
@@ -320,7 +320,7 @@
         if let Origin::Call { parents, .. } = &job.origin
             && !resp.status().is_success()
         {
-            self.guard.call_failed(parents);
+            self.guard.record_failed_call(parents);
         }
         self.events.emit(&Event::Answered(Answered {
             request: &job.request,
@@ -345,7 +345,7 @@
     /// Refuses a request that is held back; it may come back for its next trial.
     fn refuse_quarantined(&self, job: &Job) -> Answer {
         let mut resp = answer(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
-        let (name, value) = platform::retry_after(self.guard.trial_in(job.fingerprint).unwrap_or(NO_TRIAL));
+        let (name, value) = platform::retry_after(self.guard.time_to_next_trial(job.fingerprint).unwrap_or(NO_TRIAL));
         resp.headers_mut().insert(name, value);
         resp
     }
--- a/src/proxy/ingress/reserve.rs
+++ b/src/proxy/ingress/reserve.rs
@@ -21,7 +21,7 @@
         Proxy, clock,
         directory::{EndpointRow, ProxyName},
         events::Event,
-        guard::Serving,
+        guard::ServingEndpoint,
         message::{Grant, Refusal, Reserve, Reserved, path},
         peer::{Link, LinkError},
     },
@@ -107,7 +107,7 @@
 
     /// The endpoints that may do the work, as they are known now.
     fn choice(&self, job: &Job, tried: &[EndpointId]) -> Choice {
-        let here = self.guard.serving().filter(|it| it.service == job.service && !tried.contains(&it.id));
+        let here = self.guard.serving_endpoint().filter(|it| it.service == job.service && !tried.contains(&it.id));
         let here = here.map(|it| self.reachable_here(&it));
         let directory = self.directory.borrow();
         let links = self.links.borrow();
@@ -123,7 +123,7 @@
     }
 
     /// This VM's endpoint.
-    fn reachable_here(&self, endpoint: &Serving) -> Reachable {
+    fn reachable_here(&self, endpoint: &ServingEndpoint) -> Reachable {
         let (running, waiting) = self.guard.load();
         let candidate = Candidate {
             near: true,
@@ -262,7 +262,7 @@
             accepts,
         };
         let link = match guard {
-            Guarded::Here => return (at, self.guard.reserve(&req, self.surroundings(&req)).await),
+            Guarded::Here => return (at, self.guard.reserve(&req, self.reservation_context(&req)).await),
             Guarded::There(_, link) => link,
         };
         link.asking();
@@ -270,9 +270,9 @@
             Ok(it) => {
                 self.take_news(it.news);
                 if let Some(is_callers) = it.callers_route {
-                    self.guard.tell_callers_route(&req.route, is_callers);
+                    self.guard.set_callers_use_route(&req.route, is_callers);
                 }
-                self.guard.take_case(req.fingerprint, it.case);
+                self.guard.merge_case(req.fingerprint, it.case);
                 (at, it.result)
             }
             Err(error) => {
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -35,7 +35,7 @@
     match head.uri.path() {
         path::RESERVE => reply(&body, |it| proxy.reserve(it)).await,
         path::RUN => reply(&body, |it| proxy.run_here(it)).await,
-        path::ASK => reply(&body, async |it: Ask| proxy.guard.ask(&it.grant).await).await,
+        path::ASK => reply(&body, async |it: Ask| proxy.guard.query_run_end(&it.grant).await).await,
         path::RELAY => reply(&body, |it| proxy.relay(it)).await,
         path::HELLO => reply(&body, async |it| proxy.welcome(it)).await,
         path::BRIEF => reply(&body, async |it| proxy.take_brief(&it)).await,
@@ -69,7 +69,7 @@
 impl Proxy {
     fn news(&self) -> News {
         let (running, waiting) = self.guard.load();
-        News { brief: self.brief(), running, waiting, allowance_used: self.guard.allowance_used() }
+        News { brief: self.brief(), running, waiting, allowance_used: self.guard.retry_budget_exhausted() }
     }
 
     async fn reserve(self: &Rc<Self>, req: Reserve) -> Reserved {
@@ -79,9 +79,9 @@
             // Its answer tells the version, and the configuration is fetched.
             it.greet_fully();
         }
-        let result = self.guard.reserve(&req, self.surroundings(&req)).await;
+        let result = self.guard.reserve(&req, self.reservation_context(&req)).await;
         let case = self.guard.case(req.fingerprint);
-        Reserved { news: self.news(), result, callers_route: self.guard.is_callers_route(&req.route), case }
+        Reserved { news: self.news(), result, callers_route: self.guard.callers_use_route(&req.route), case }
     }
 
     async fn run_here(self: &Rc<Self>, run: Run) -> Ran {
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -20,7 +20,7 @@
     proxy::{
         Proxy,
         backoff::Backoff,
-        guard::quarantine::Source,
+        guard::quarantine::CaseSource,
         message::{Cases, path},
         peer::Link,
         spread::{GATHER, HELLO_TIMEOUT},
@@ -42,10 +42,10 @@
         loop {
             self.guard.cases_changed.notified().await;
             sleep(GATHER).await;
-            for fingerprint in self.guard.take_found() {
+            for fingerprint in self.guard.take_cases_to_store() {
                 spawn_local(Rc::clone(&self).write_down(fingerprint));
             }
-            let news = Cases { cases: self.guard.take_quarantine_news(), exchange: false };
+            let news = Cases { cases: self.guard.take_changed_cases(), exchange: false };
             let links: Vec<Rc<Link>> = self.links.borrow().iter().map(|it| Rc::clone(&it.1)).collect();
             let connected: Vec<&Rc<Link>> = links.iter().filter(|it| it.is_connected()).collect();
             for link in connected.sample(&mut rand::rng(), RELAYS) {
@@ -60,7 +60,7 @@
 
     /// Takes in what a peer knows against requests, and answers with what is known here if that is wanted.
     pub(super) fn exchange_cases(&self, theirs: &Cases) -> Vec<ToldCase> {
-        self.guard.take_cases(&theirs.cases, Source::Peer);
+        self.guard.merge_cases(&theirs.cases, CaseSource::Peer);
         if theirs.exchange { self.guard.cases() } else { Vec::new() }
     }
 
@@ -71,7 +71,7 @@
         }
         let ours = Cases { cases: self.guard.cases(), exchange: true };
         if let Some(it) = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &ours).await {
-            self.guard.take_cases(&it, Source::Peer);
+            self.guard.merge_cases(&it, CaseSource::Peer);
         }
     }
 
@@ -95,7 +95,7 @@
         }
         let told =
             list.objects.iter().map(|it| ToldCase { fingerprint: it.fingerprint, case: it.case, age: Duration::ZERO });
-        self.guard.take_cases(&told.collect::<Vec<_>>(), Source::Store);
+        self.guard.merge_cases(&told.collect::<Vec<_>>(), CaseSource::Store);
         Ok(())
     }
 
@@ -132,11 +132,11 @@
 
     /// Begins the trial of a request that is held back, if one is due and no other proxy begins it.
     pub(super) async fn begin_trial(&self, fingerprint: Fingerprint) -> bool {
-        if self.guard.trial_in(fingerprint) != Some(Duration::ZERO) {
+        if self.guard.time_to_next_trial(fingerprint) != Some(Duration::ZERO) {
             return false;
         }
         // Other requests of this kind that come meanwhile are refused.
-        self.guard.put_off_trial(fingerprint);
+        self.guard.postpone_trial(fingerprint);
         let object = QuarantineObject { fingerprint, case: self.guard.case(fingerprint), by: self.name.clone() };
         match timeout(TRIAL_WAIT, self.store.begin_trial(&object)).await {
             Ok(Ok(Trial::Begun(case))) => {
@@ -159,6 +159,6 @@
     }
 
     fn take_trial(&self, fingerprint: Fingerprint, case: Case) {
-        self.guard.take_cases(&[ToldCase { fingerprint, case, age: Duration::ZERO }], Source::Trial);
+        self.guard.merge_cases(&[ToldCase { fingerprint, case, age: Duration::ZERO }], CaseSource::Trial);
     }
 }
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -64,7 +64,7 @@
             link.told(running + waiting, clock::now());
             let service = self.directory.borrow().by_key(link.key).map(|it| it.endpoints.service.clone());
             if let Some(it) = service {
-                self.note_allowance(&it, allowance_used);
+                self.note_retry_budget(&it, allowance_used);
             }
         }
         self.take_brief(&brief);
@@ -168,13 +168,13 @@
     pub(super) async fn tell_changes(self: Rc<Self>) {
         loop {
             tokio::select! {
-                () = self.guard.changed.notified() => {
+                () = self.guard.row_changed.notified() => {
                     self.turns.set(self.turns.get() + 1);
                     let endpoint = self.guard.endpoint_row();
                     self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
                     self.greet_all();
                 }
-                () = self.guard.turned.notified() => {
+                () = self.guard.standing_changed.notified() => {
                     self.turns.set(self.turns.get() + 1);
                     self.links.borrow().iter().for_each(|it| it.1.greet_briefly());
                 }
@@ -195,7 +195,7 @@
             let pause = if early { EXCHANGE_EARLY } else { EXCHANGE_EVERY };
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
             self.directory.borrow_mut().forget(clock::now());
-            self.guard.forget_cases();
+            self.guard.remove_expired_cases();
             if rand::rng().random_bool(DOWN_PART) {
                 self.try_down().await;
             } else if let Some((_, link)) = self.any_link_but("", rand::rng().random_bool(NEAR_PART)) {
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -75,9 +75,9 @@
         self.tell_stopping("SIGTERM");
         let removal = self.leave_fleet();
         let hand_over = async {
-            self.guard.stop_soon(stop.endpoint_ends());
+            self.guard.drain_until(stop.endpoint_ends());
             self.until(Stage::Finishing).await;
-            self.guard.stop();
+            self.guard.stop_granting();
             self.until(Stage::Done).await;
         };
         tokio::join!(removal, hand_over);
@@ -88,7 +88,7 @@
 
     /// Leaves the fleet for good if the endpoint is gone; beside one that lives on, another run of this proxy will follow.
     async fn leave_fleet(&self) {
-        if self.guard.serving().is_some() {
+        if self.guard.serving_endpoint().is_some() {
             return;
         }
         self.directory.borrow_mut().edit_own(clock::now(), |it| it.leaving = true);
@@ -113,7 +113,7 @@
 
     /// Requests and runs that have no end yet.
     fn under_way(&self) -> usize {
-        self.requests.get() + self.guard.running()
+        self.requests.get() + self.guard.open_grants()
     }
 
     /// Waits until a stopping process has to give its last answers.
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -144,7 +144,7 @@
 
     assert_eq!((&*it.id.name, it.id.born), ("i-1", Some(1_764_700_000_000)));
     assert_eq!((&*it.service, it.slots, it.sequence), ("s", 4, 9));
-    assert_eq!((it.phase, it.cold_for), (EndpointPhase::Leaving, Duration::from_millis(1_500)));
+    assert_eq!((it.phase, it.warmup_left), (EndpointPhase::Leaving, Duration::from_millis(1_500)));
 }
 
 #[rstest]
