--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -51,7 +51,7 @@
         let proxy = Rc::clone(self);
         let limits = Rc::clone(self);
         let limits = move || limits.config.borrow().as_ref().map_or_else(Limits::default, |it| it.limits);
-        spawn_local(server::http1(callers, limits, move |req| ingress::handle(Rc::clone(&proxy), req)));
+        spawn_local(server::http1(callers, limits, move |req| ingress::handle_request(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         spawn_local(server::http2(peers, move |req| peers::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -150,7 +150,7 @@
 }
 
 /// Serves one request of a caller.
-pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+pub(super) async fn handle_request(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
     let arrived = clock::now();
     let (head, body) = req.into_parts();
     let id: Box<str> = platform::request_id(&head.headers).unwrap_or("").into();
