--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/reservations.rs
@@ -7,7 +7,7 @@
 
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
-use super::{EndpointPhase, Guard, PlaceSender, State, Surroundings, count, ledger::Purpose};
+use super::{EndpointPhase, Guard, PlaceSender, ReservationContext, State, count, ledger::GrantedWork};
 use crate::{
     decide::{
         guard_retry_budget::Retry,
@@ -27,17 +27,17 @@
 
 impl Guard {
     /// Waits for a place. Dropping the future takes the wish, or the place, back.
-    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: Surroundings) -> Result<Grant, Refusal> {
-        self.take_case(req.fingerprint, req.case);
+    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: ReservationContext) -> Result<Grant, Refusal> {
+        self.merge_case(req.fingerprint, req.case);
         let (tx, rx) = oneshot::channel();
         let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
         let mut wish = Wish { guard: self, id, rx };
-        self.pump();
+        self.issue_grants();
         (&mut wish.rx).await.unwrap_or(Err(Refusal::Elsewhere))
     }
 
     /// Gives free places to those that wait, in order, and turns those away that can't begin here.
-    pub(super) fn pump(self: &Rc<Self>) {
+    pub(super) fn issue_grants(self: &Rc<Self>) {
         let now = clock::now();
         let mut offered = Vec::new();
         {
@@ -58,9 +58,9 @@
         let guard = Rc::clone(self);
         spawn_local(async move {
             sleep(GRANT_TTL).await;
-            let unused = guard.state.borrow().ledger.offered().contains(&id);
+            let unused = guard.state.borrow().ledger.unused_grants().contains(&id);
             if unused {
-                guard.end(id, RunEnd::NotRun(NotRun::NoGrant));
+                guard.end_grant(id, RunEnd::NotRun(NotRun::NoGrant));
             }
         });
     }
@@ -71,7 +71,7 @@
     fn admit(
         &mut self,
         req: &Reserve,
-        known: Surroundings,
+        known: ReservationContext,
         tx: PlaceSender,
         now: Instant,
     ) -> Result<WaiterId, Refusal> {
@@ -84,16 +84,16 @@
             return Err(Refusal::Quarantined);
         }
         self.origins.record(&req.route, req.certain_caller);
-        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
+        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.endpoint_trials()), now) {
             return Err(Refusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
         let call = req.call && self.origins.used_by_callers(&req.route) != Some(true);
-        self.allowance.set_guard_count(known.guards);
+        self.allowance.set_guard_count(known.service_guards);
         if req.arrival == Arrival::Repeat {
             let retry = Retry { rank: req.rank, is_nested_call: call };
             self.allowance.record_demand(retry, now);
-            if known.calls_tight || !self.allowance.allows(retry, now) {
+            if known.callee_budget_exhausted || !self.allowance.allows(retry, now) {
                 return Err(Refusal::NoAllowance);
             }
         }
@@ -124,8 +124,8 @@
         let endpoint = endpoint.as_mut().filter(|it| it.announced.phase == EndpointPhase::Serving)?;
         let limit = endpoint.usable_slots(now);
         while count(ledger.len()) < limit {
-            let trials = count(ledger.trials());
-            let suspect_here = ledger.purposes().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
+            let trials = count(ledger.endpoint_trials());
+            let suspect_here = ledger.granted_work().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
                 let case = quarantine.crash_record(it.fingerprint);
                 endpoint.record.admits(it.accepts, it.may_be_trial, trials, now)
@@ -137,15 +137,15 @@
             let waiter = queue.next(now, admits)?;
             let Some(at) = senders.iter().position(|it| it.0 == waiter.id) else { continue };
             let (_, tx) = senders.swap_remove(at);
-            let purpose = Purpose {
+            let work = GrantedWork {
                 route: waiter.route,
                 fingerprint: waiter.fingerprint,
-                released: waiter.is_quarantine_trial,
+                quarantine_trial: waiter.is_quarantine_trial,
                 idempotent: waiter.idempotent,
-                repeat_share: waiter.repeat_share,
-                trial: endpoint.record.standing() != EndpointStanding::Clean,
+                retry_share: waiter.repeat_share,
+                endpoint_trial: endpoint.record.standing() != EndpointStanding::Clean,
             };
-            let grant = ledger.offer(endpoint.announced.id.clone(), purpose);
+            let grant = ledger.issue(endpoint.announced.id.clone(), work);
             let id = grant.id;
             if tx.send(Ok(grant)).is_err() {
                 ledger.end(id, RunEnd::NotRun(NotRun::NoGrant), now);
@@ -201,7 +201,7 @@
     fn drop(&mut self) {
         // A place that was given and not taken yet is free again.
         if let Ok(Ok(grant)) = self.rx.try_recv() {
-            self.guard.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.guard.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
             return;
         }
         let mut state = self.guard.state.borrow_mut();
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Guard, State,
-    ledger::{Known, Running},
+    ledger::{ActiveRun, GrantStatus},
 };
 use crate::{
     decide::{
@@ -74,27 +74,27 @@
         let mut state = self.state.borrow_mut();
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
-        let purpose = &ledger.given(run.grant.id)?.purpose;
-        let known = quarantine.crash_record(purpose.fingerprint);
-        if known.is_quarantined() && !purpose.released {
+        let work = &ledger.entry(run.grant.id)?.work;
+        let known = quarantine.crash_record(work.fingerprint);
+        if known.is_quarantined() && !work.quarantine_trial {
             return None;
         }
         let now = clock::now();
-        let running = Running {
-            repeat_share: run.repeat_share,
-            known,
-            begun: now,
-            until: now + run.left,
+        let running = ActiveRun {
+            retry_share: run.repeat_share,
+            case_at_start: known,
+            started_at: now,
+            deadline: now + run.left,
             failed_calls: Vec::new(),
-            explained: false,
+            failure_explained: false,
         };
-        let purpose = &ledger.begin(&run.grant, running)?.purpose;
-        let usual = pace.mean(&purpose.route);
+        let work = &ledger.start_run(&run.grant, running)?.work;
+        let usual = pace.mean(&work.route);
         let stages = Stages {
-            working: purpose.trial.then(|| suspicion::fast_failure_limit(usual).max(WORKING_LEAST)),
+            working: work.endpoint_trial.then(|| suspicion::fast_failure_limit(usual).max(WORKING_LEAST)),
             overdue: usual.map_or(OVERDUE_UNKNOWN, |it| it * OVERDUE_FACTOR + OVERDUE_MORE),
         };
-        let begun = (Rc::clone(&endpoint.pool), purpose.idempotent, stages);
+        let begun = (Rc::clone(&endpoint.pool), work.idempotent, stages);
         state.account(now);
         Some(begun)
     }
@@ -108,7 +108,7 @@
                 *head.uri_mut() = target;
             }
             (Err(_), _) | (_, Err(_)) => {
-                self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+                self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
                 return RunEnd::NotRun(NotRun::NoGrant);
             }
         }
@@ -129,7 +129,7 @@
             work.await
         };
         self.learn(&grant, &end, &request, start, left);
-        self.end(grant.id, end.clone());
+        self.end_grant(grant.id, end.clone());
         end
     }
 
@@ -139,33 +139,33 @@
         const CLOSE: Duration = Duration::from_millis(100);
         let took = clock::now().saturating_duration_since(begun);
         let state = self.state.borrow();
-        let Some(given) = state.ledger.given(grant.id) else { return };
-        let (route, fingerprint) = (given.purpose.route.clone(), given.purpose.fingerprint);
+        let Some(given) = state.ledger.entry(grant.id) else { return };
+        let (route, fingerprint) = (given.work.route.clone(), given.work.fingerprint);
         let failure = AnswerSample::from_failure(took, state.pace.mean(&route));
         drop(state);
         let (sample, why) = match end {
             RunEnd::Answered { status, .. } if *status < 500 => {
-                self.answered_well(fingerprint);
+                self.add_success_evidence(fingerprint);
                 self.state.borrow_mut().pace.record(&route, took);
                 (AnswerSample::Good, "answered")
             }
             RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
-            RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure(grant.id) => return,
+            RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure_by_call(grant.id) => return,
             RunEnd::Answered { .. } => (failure, "failed"),
             RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) | RunEnd::NotRun(NotRun::NoGrant) => return,
             RunEnd::Unknown(Unknown::Ended) => {
-                self.blame_work_at(&grant.endpoint);
-                self.tell_ended(grant, request, took);
+                self.add_crash_evidence(&grant.endpoint);
+                self.emit_ended_under(grant, request, took);
                 (AnswerSample::HardFailure, "ended")
             }
             RunEnd::Unknown(Unknown::Broken | Unknown::Garbled) => (failure, "broken"),
             RunEnd::NotRun(NotRun::Declined) => (AnswerSample::Declined, "declined"),
             RunEnd::NotRun(NotRun::NoConnection) => {
-                self.forget_if_silent(&grant.endpoint);
+                self.mark_leaving_if_silent(&grant.endpoint);
                 (AnswerSample::HardFailure, "no connection")
             }
             RunEnd::NotRun(NotRun::OtherInstance) => {
-                self.leave(&grant.endpoint, "another instance answered");
+                self.mark_leaving(&grant.endpoint, "another instance answered");
                 return;
             }
         };
@@ -185,38 +185,38 @@
         if turned {
             self.events.emit(&Event::EndpointStanding { endpoint: &id.name, standing, request, why });
             metrics::counter!("jayreach_standing_changes_total", "to" => standing.name()).increment(1);
-            self.turned.notify_one();
+            self.standing_changed.notify_one();
         }
     }
 
     /// Gives a place back and remembers what became of it.
-    pub(super) fn end(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
+    pub(super) fn end_grant(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let unused = end == RunEnd::NotRun(NotRun::NoGrant);
         let may_go_on = matches!(end, RunEnd::Unknown(_));
         let on = use_of(&end);
         let Some(given) = state.ledger.end(grant, end, now) else { return };
-        if let Some(it) = &given.running {
-            let on = if it.explained { SlotUse::CallFailed } else { on };
-            state.slot_time.add_work(on, now.saturating_duration_since(it.begun));
+        if let Some(it) = &given.active_run {
+            let on = if it.failure_explained { SlotUse::CallFailed } else { on };
+            state.slot_time.add_work(on, now.saturating_duration_since(it.started_at));
         }
         if unused {
-            state.allowance.undo_arrival(given.purpose.repeat_share);
+            state.allowance.undo_arrival(given.work.retry_share);
         }
         if may_go_on {
-            state.keep_lingering(given, now);
+            state.keep_unfinished(given, now);
         }
         drop(state);
         self.run_ended.notify_waiters();
-        self.pump();
+        self.issue_grants();
     }
 
     /// What became of a place; one that was not used yet is taken back.
-    pub async fn ask(self: &Rc<Self>, grant: &Grant) -> RunEnd {
-        let known = self.state.borrow().ledger.look_up(grant);
-        if known == Known::Offered {
-            self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+    pub async fn query_run_end(self: &Rc<Self>, grant: &Grant) -> RunEnd {
+        let known = self.state.borrow().ledger.status(grant);
+        if known == GrantStatus::Unused {
+            self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
         }
         timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(Unknown::Silent))
     }
@@ -226,11 +226,11 @@
             let ended = self.run_ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            let known = self.state.borrow().ledger.look_up(grant);
+            let known = self.state.borrow().ledger.status(grant);
             match known {
-                Known::Offered | Known::Running => ended.await,
-                Known::Ended(it) => return it,
-                Known::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
+                GrantStatus::Unused | GrantStatus::Running => ended.await,
+                GrantStatus::Ended(it) => return it,
+                GrantStatus::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
             }
         }
     }
@@ -256,6 +256,6 @@
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        self.guard.end(self.grant, RunEnd::Unknown(Unknown::Silent));
+        self.guard.end_grant(self.grant, RunEnd::Unknown(Unknown::Silent));
     }
 }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -1,7 +1,7 @@
 //! What becomes of a caller's request: its route, places, attempts, and its one answer.
 
 mod attempt;
-mod placing;
+mod reserve;
 
 use std::{
     cell::Cell,
@@ -28,7 +28,7 @@
         Proxy, client, clock,
         directory::ProxyName,
         events::{Answered, Event},
-        guard::Surroundings,
+        guard::ReservationContext,
         headers,
         message::{Arrival, Grant, Reserve, Whole},
         peer::Link,
@@ -153,7 +153,7 @@
 }
 
 /// Serves one request of a caller.
-pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+pub(super) async fn handle_request(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
     let arrived = clock::now();
     let (head, body) = req.into_parts();
     let id: Box<str> = platform::request_id(&head.headers).unwrap_or("").into();
@@ -197,7 +197,7 @@
     let service = proxy.deal(route);
     let credentials = head.headers.get(AUTHORIZATION).map_or(&[][..], HeaderValue::as_bytes);
     let target = head.uri.path_and_query().map_or("/", |it| it.as_str());
-    let origin = proxy.guard.origin(&route.name, &service, caller_deadline);
+    let origin = proxy.guard.classify_origin(&route.name, &service, caller_deadline);
     let job = Job {
         rank: proxy.rank(&config, route, &origin),
         origin,
@@ -252,11 +252,11 @@
 
 impl Proxy {
     /// What this proxy knows that bears on a place at its guard.
-    pub(super) fn surroundings(&self, req: &Reserve) -> Surroundings {
+    pub(super) fn reservation_context(&self, req: &Reserve) -> ReservationContext {
         let tight = |service: &str| self.allowance_used(service);
-        Surroundings {
-            guards: self.directory.borrow_mut().guards_of(&req.service),
-            calls_tight: self.guard.calls_any(&req.route, tight),
+        ReservationContext {
+            service_guards: self.directory.borrow_mut().guards_of(&req.service),
+            callee_budget_exhausted: self.guard.calls_matching_service(&req.route, tight),
         }
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// A guard of `service` told whether its allowance for repeats is used up.
-    pub(super) fn note_allowance(&self, service: &str, used: bool) {
+    pub(super) fn note_retry_budget(&self, service: &str, used: bool) {
         if !used {
             return;
         }
@@ -282,7 +282,7 @@
     /// How urgent a request is: a call is as urgent as the most urgent work that may have made it.
     fn rank(&self, config: &Config, route: &Route, origin: &RequestOrigin) -> u32 {
         let RequestOrigin::NestedCall { parents, .. } = origin else { return route.rank };
-        let parents = self.guard.routes_of(parents);
+        let parents = self.guard.routes_of_grants(parents);
         let ranks = config.routes().iter().filter(|it| parents.contains(&it.name)).map(|it| it.rank);
         ranks.min().unwrap_or(route.rank)
     }
@@ -325,7 +325,7 @@
         if let RequestOrigin::NestedCall { parents, .. } = &job.origin
             && !resp.status().is_success()
         {
-            self.guard.call_failed(parents);
+            self.guard.record_failed_call(parents);
         }
         self.events.emit(&Event::Answered(Answered {
             request: &job.request,
@@ -350,7 +350,7 @@
     /// Refuses a request that is held back; it may come back for its next trial.
     fn refuse_quarantined(&self, job: &Job) -> Answer {
         let mut resp = answer(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
-        let (name, value) = platform::retry_after(self.guard.trial_in(job.fingerprint).unwrap_or(NO_TRIAL));
+        let (name, value) = platform::retry_after(self.guard.time_to_next_trial(job.fingerprint).unwrap_or(NO_TRIAL));
         resp.headers_mut().insert(name, value);
         resp
     }
