--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -20,7 +20,7 @@
     proxy::{
         client::{self, CallError, Connection},
         headers,
-        message::{NotRun, RunEnd, Unknown, Whole},
+        message::{HttpContent, NotRunReason, RunEnd, UnknownReason},
     },
 };
 
@@ -72,9 +72,11 @@
     pub(super) async fn run(&self, req: EndpointRequest) -> RunEnd {
         let limit = req.left + ANSWER_SLACK;
         match timeout(limit, self.exchange(req)).await {
-            Ok(RunEnd::Unknown(Unknown::Broken)) if self.has_ended().await => RunEnd::Unknown(Unknown::Ended),
+            Ok(RunEnd::Unknown(UnknownReason::Broken)) if self.has_ended().await => {
+                RunEnd::Unknown(UnknownReason::Ended)
+            }
             Ok(it) => it,
-            Err(_) => RunEnd::Unknown(Unknown::Silent),
+            Err(_) => RunEnd::Unknown(UnknownReason::Silent),
         }
     }
 
@@ -111,7 +113,7 @@
                     Ok(it) => it,
                     Err(error) => {
                         log::debug!("request {}: {error}", req.request);
-                        return RunEnd::NotRun(NotRun::NoConnection);
+                        return RunEnd::NotRun(NotRunReason::NoConnection);
                     }
                 },
             };
@@ -119,7 +121,7 @@
                 if reused {
                     continue;
                 }
-                return RunEnd::NotRun(NotRun::NoConnection);
+                return RunEnd::NotRun(NotRunReason::NoConnection);
             }
             metrics::counter!("jayreach_endpoint_arrivals_total").increment(1);
             match connection.sender.try_send_request(hyper_req).await {
@@ -127,10 +129,10 @@
                 Err(mut error) => match error.take_message() {
                     // It never left this process.
                     Some(unsent) if reused => hyper_req = unsent,
-                    Some(_) => return RunEnd::NotRun(NotRun::NoConnection),
+                    Some(_) => return RunEnd::NotRun(NotRunReason::NoConnection),
                     None => {
                         log::debug!("request {}: {}", req.request, error.error());
-                        return RunEnd::Unknown(Unknown::Broken);
+                        return RunEnd::Unknown(UnknownReason::Broken);
                     }
                 },
             }
@@ -164,27 +166,27 @@
             Ok(it) => it,
             Err(error) => {
                 log::debug!("request {}: {error}", req.request);
-                return RunEnd::Unknown(Unknown::Broken);
+                return RunEnd::Unknown(UnknownReason::Broken);
             }
         };
         // Another request's late answer proves nothing of this one.
         if platform::request_id(&head.headers).is_some_and(|it| *it != *req.request) {
-            return RunEnd::Unknown(Unknown::Garbled);
+            return RunEnd::Unknown(UnknownReason::Garbled);
         }
         if head.status.as_u16() == 421 {
             self.keep(connection, &head.headers);
-            return RunEnd::NotRun(NotRun::OtherInstance);
+            return RunEnd::NotRun(NotRunReason::OtherInstance);
         }
         if platform::not_executed(&head.headers) {
             self.keep(connection, &head.headers);
-            return RunEnd::NotRun(NotRun::Declined);
+            return RunEnd::NotRun(NotRunReason::Declined);
         }
         // Callers ask for plain bodies: a coded one isn't the endpoint's.
         if !platform::is_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
-            return RunEnd::Unknown(Unknown::Garbled);
+            return RunEnd::Unknown(UnknownReason::Garbled);
         }
         self.keep(connection, &head.headers);
-        let content = Whole::new(&headers::end_to_end(&head.headers), &body);
+        let content = HttpContent::new(&headers::end_to_end(&head.headers), &body);
         RunEnd::Answered { status: head.status.as_u16(), content, took: start.elapsed() }
     }
 
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -18,7 +18,7 @@
     decide::{fingerprint::Fingerprint, life::UnixMillis, suspicion::Standing},
     proxy::{
         directory::ProxyName,
-        message::{NotRun, Refusal, Unknown},
+        message::{GrantRefusal, NotRunReason, UnknownReason},
         routes::Version,
     },
 };
@@ -62,7 +62,7 @@
     /// A request could not be used.
     Rejected { request: &'a str, status: u16, why: &'a str },
     /// A place at an endpoint was asked for in vain.
-    NoPlace { request: &'a str, guard: &'a str, why: Refusal, waited_ms: u128 },
+    NoPlace { request: &'a str, guard: &'a str, why: GrantRefusal, waited_ms: u128 },
     /// A place was taken; with what the ingress knew of the endpoint, and for how long it had known that.
     Placed {
         request: &'a str,
@@ -137,9 +137,9 @@
     /// The endpoint's own answer says so.
     Status(u16),
     /// It did not run.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
     /// It may have run.
-    Unknown(Unknown),
+    Unknown(UnknownReason),
     /// It took too long and may run again elsewhere.
     Overdue,
 }
--- a/src/proxy/guard/announced.rs
+++ b/src/proxy/guard/announced.rs
@@ -12,7 +12,7 @@
         clock,
         endpoint::EndpointPool,
         events::Event,
-        message::{NotRun, RunEnd},
+        message::{NotRunReason, RunEnd},
     },
 };
 
@@ -154,7 +154,7 @@
         let offered = state.ledger.offered();
         drop(state);
         for grant in offered {
-            self.end(grant, RunEnd::NotRun(NotRun::NoGrant));
+            self.end(grant, RunEnd::NotRun(NotRunReason::NoGrant));
         }
         self.changed.notify_one();
         self.pump();
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -9,7 +9,7 @@
     decide::{fingerprint::Fingerprint, life::EndpointId, quarantine::Case},
     proxy::{
         directory::Incarnation,
-        message::{Grant, GrantId, NotRun, RunEnd},
+        message::{Grant, GrantId, NotRunReason, RunEnd},
         routes::RouteName,
     },
 };
@@ -205,7 +205,7 @@
     pub fn end(&mut self, id: GrantId, end: RunEnd, now: Instant) -> Option<Given> {
         let at = self.given.iter().position(|it| it.id == id)?;
         let given = self.given.swap_remove(at);
-        if !given.purpose.idempotent || end == RunEnd::NotRun(NotRun::NoGrant) {
+        if !given.purpose.idempotent || end == RunEnd::NotRun(NotRunReason::NoGrant) {
             self.ended.push(Ended { id, end, at: now });
         }
         self.ended.retain(|it| now.saturating_duration_since(it.at) < ENDED_KEPT);
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -34,7 +34,7 @@
         endpoint::EndpointPool,
         events::Events,
         guard::ledger::{FailedCall, Given, Ledger},
-        message::{Grant, Refusal},
+        message::{Grant, GrantRefusal},
         routes::{RouteName, ServiceName},
     },
 };
@@ -128,7 +128,7 @@
 /// An endpoint that warms up works at about half its speed.
 const COLD_PART: u32 = 2;
 
-type PlaceSender = oneshot::Sender<Result<Grant, Refusal>>;
+type PlaceSender = oneshot::Sender<Result<Grant, GrantRefusal>>;
 
 struct State {
     endpoint: Option<Endpoint>,
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -17,7 +17,7 @@
     },
     proxy::{
         clock,
-        message::{Arrival, Grant, GrantId, NotRun, Refusal, Reserve, RunEnd},
+        message::{AttemptKind, Grant, GrantId, GrantRefusal, NotRunReason, ReserveRequest, RunEnd},
     },
 };
 
@@ -27,13 +27,13 @@
 
 impl Guard {
     /// Waits for a place. Dropping the future takes the wish, or the place, back.
-    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: Surroundings) -> Result<Grant, Refusal> {
+    pub async fn reserve(self: &Rc<Self>, req: &ReserveRequest, known: Surroundings) -> Result<Grant, GrantRefusal> {
         self.take_case(req.fingerprint, req.case);
         let (tx, rx) = oneshot::channel();
         let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
         let mut wish = Wish { guard: self, id, rx };
         self.pump();
-        (&mut wish.rx).await.unwrap_or(Err(Refusal::Elsewhere))
+        (&mut wish.rx).await.unwrap_or(Err(GrantRefusal::Elsewhere))
     }
 
     /// Gives free places to those that wait, in order, and turns those away that can't begin here.
@@ -60,7 +60,7 @@
             sleep(GRANT_TTL).await;
             let unused = guard.state.borrow().ledger.offered().contains(&id);
             if unused {
-                guard.end(id, RunEnd::NotRun(NotRun::NoGrant));
+                guard.end(id, RunEnd::NotRun(NotRunReason::NoGrant));
             }
         });
     }
@@ -70,31 +70,31 @@
     /// Adds a wish to the queue, unless this is no place for it.
     fn admit(
         &mut self,
-        req: &Reserve,
+        req: &ReserveRequest,
         known: Surroundings,
         tx: PlaceSender,
         now: Instant,
-    ) -> Result<WaiterId, Refusal> {
-        let endpoint = self.endpoint.as_ref().ok_or(Refusal::Elsewhere)?;
+    ) -> Result<WaiterId, GrantRefusal> {
+        let endpoint = self.endpoint.as_ref().ok_or(GrantRefusal::Elsewhere)?;
         let leaves = endpoint.announced.phase == EndpointPhase::Leaving;
         if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
-            return Err(Refusal::Elsewhere);
+            return Err(GrantRefusal::Elsewhere);
         }
         if self.quarantine.case(req.fingerprint).is_held() && !req.released {
-            return Err(Refusal::Quarantined);
+            return Err(GrantRefusal::Quarantined);
         }
         self.origins.count(&req.route, req.certain_caller);
         if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
-            return Err(Refusal::Suspect);
+            return Err(GrantRefusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
         let call = req.call && self.origins.says(&req.route) != Some(true);
         self.allowance.share_with(known.guards);
-        if req.arrival == Arrival::Repeat {
+        if req.arrival == AttemptKind::Repeat {
             let repeat = Repeat { rank: req.rank, call };
             self.allowance.want(repeat, now);
             if known.calls_tight || !self.allowance.allows(repeat, now) {
-                return Err(Refusal::NoAllowance);
+                return Err(GrantRefusal::NoAllowance);
             }
         }
         self.last_waiter += 1;
@@ -108,7 +108,7 @@
             accepts: req.accepts,
             arrived: now,
             useful_until: now + req.useful_for,
-            needs_allowance: req.arrival == Arrival::Repeat,
+            needs_allowance: req.arrival == AttemptKind::Repeat,
             repeat_share: req.arrival.repeat_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
@@ -148,7 +148,7 @@
             let grant = ledger.offer(endpoint.announced.id.clone(), purpose);
             let id = grant.id;
             if tx.send(Ok(grant)).is_err() {
-                ledger.end(id, RunEnd::NotRun(NotRun::NoGrant), now);
+                ledger.end(id, RunEnd::NotRun(NotRunReason::NoGrant), now);
                 continue;
             }
             endpoint.record.begun(now);
@@ -163,11 +163,11 @@
         let Self { endpoint, queue, senders, allowance, quarantine, pace, ends, .. } = self;
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
-            _ if quarantine.case(it.fingerprint).is_held() && !it.released => Some(Refusal::Quarantined),
-            None => Some(Refusal::Elsewhere),
-            Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
-            Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(Refusal::Suspect),
-            Some(_) if it.needs_allowance && !allowance.allows(it.repeat(), now) => Some(Refusal::NoAllowance),
+            _ if quarantine.case(it.fingerprint).is_held() && !it.released => Some(GrantRefusal::Quarantined),
+            None => Some(GrantRefusal::Elsewhere),
+            Some(_) if !fits(*ends, pace, &it.route, now) => Some(GrantRefusal::Elsewhere),
+            Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(GrantRefusal::Suspect),
+            Some(_) if it.needs_allowance && !allowance.allows(it.repeat(), now) => Some(GrantRefusal::NoAllowance),
             Some(_) => None,
         };
         while let Some(waiter) = queue.take(|it| refusal(it).is_some()) {
@@ -192,14 +192,14 @@
 struct Wish<'a> {
     guard: &'a Rc<Guard>,
     id: WaiterId,
-    rx: oneshot::Receiver<Result<Grant, Refusal>>,
+    rx: oneshot::Receiver<Result<Grant, GrantRefusal>>,
 }
 
 impl Drop for Wish<'_> {
     fn drop(&mut self) {
         // A place that was given and not taken yet is free again.
         if let Ok(Ok(grant)) = self.rx.try_recv() {
-            self.guard.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.guard.end(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
             return;
         }
         let mut state = self.guard.state.borrow_mut();
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -21,7 +21,7 @@
         clock,
         endpoint::{EndpointPool, EndpointRequest},
         events::Event,
-        message::{Grant, GrantId, NotRun, Run, RunEnd, Unknown},
+        message::{Grant, GrantId, NotRunReason, RunEnd, RunRequest, UnknownReason},
     },
 };
 
@@ -56,9 +56,9 @@
     /// Uses a place: sends the work to the endpoint, once.
     ///
     /// Dropping the future stops idempotent work. Other work goes on, and its end is remembered.
-    pub async fn run(self: &Rc<Self>, run: Run) -> RunEnd {
+    pub async fn run(self: &Rc<Self>, run: RunRequest) -> RunEnd {
         let Some((pool, idempotent, stages)) = self.begin(&run) else {
-            return RunEnd::NotRun(NotRun::NoGrant);
+            return RunEnd::NotRun(NotRunReason::NoGrant);
         };
         let grant = run.grant.clone();
         let work = Rc::clone(self).execute(run, pool, stages);
@@ -70,7 +70,7 @@
         self.ended(&grant).await
     }
 
-    fn begin(&self, run: &Run) -> Option<(Rc<EndpointPool>, bool, Stages)> {
+    fn begin(&self, run: &RunRequest) -> Option<(Rc<EndpointPool>, bool, Stages)> {
         let mut state = self.state.borrow_mut();
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
@@ -99,8 +99,8 @@
         Some(begun)
     }
 
-    async fn execute(self: Rc<Self>, run: Run, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
-        let Run { grant, request, method, target, content, left, repeat_share: _, fingerprint: _ } = run;
+    async fn execute(self: Rc<Self>, run: RunRequest, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
+        let RunRequest { grant, request, method, target, content, left, repeat_share: _, fingerprint: _ } = run;
         let mut head = hyper::Request::new(());
         match (method.parse(), target.parse()) {
             (Ok(method), Ok(target)) => {
@@ -108,8 +108,8 @@
                 *head.uri_mut() = target;
             }
             (Err(_), _) | (_, Err(_)) => {
-                self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
-                return RunEnd::NotRun(NotRun::NoGrant);
+                self.end(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
+                return RunEnd::NotRun(NotRunReason::NoGrant);
             }
         }
         *head.headers_mut() = content.headers();
@@ -152,19 +152,20 @@
             RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
             RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure(grant.id) => return,
             RunEnd::Answered { .. } => (failure, "failed"),
-            RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) | RunEnd::NotRun(NotRun::NoGrant) => return,
-            RunEnd::Unknown(Unknown::Ended) => {
+            RunEnd::Unknown(UnknownReason::Silent | UnknownReason::GuardGone)
+            | RunEnd::NotRun(NotRunReason::NoGrant) => return,
+            RunEnd::Unknown(UnknownReason::Ended) => {
                 self.blame_work_at(&grant.endpoint);
                 self.tell_ended(grant, request, took);
                 (Sample::Bad, "ended")
             }
-            RunEnd::Unknown(Unknown::Broken | Unknown::Garbled) => (failure, "broken"),
-            RunEnd::NotRun(NotRun::Declined) => (Sample::Declined, "declined"),
-            RunEnd::NotRun(NotRun::NoConnection) => {
+            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Garbled) => (failure, "broken"),
+            RunEnd::NotRun(NotRunReason::Declined) => (Sample::Declined, "declined"),
+            RunEnd::NotRun(NotRunReason::NoConnection) => {
                 self.forget_if_silent(&grant.endpoint);
                 (Sample::Bad, "no connection")
             }
-            RunEnd::NotRun(NotRun::OtherInstance) => {
+            RunEnd::NotRun(NotRunReason::OtherInstance) => {
                 self.leave(&grant.endpoint, "another instance answered");
                 return;
             }
@@ -193,7 +194,7 @@
     pub(super) fn end(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let unused = end == RunEnd::NotRun(NotRun::NoGrant);
+        let unused = end == RunEnd::NotRun(NotRunReason::NoGrant);
         let may_go_on = matches!(end, RunEnd::Unknown(_));
         let on = use_of(&end);
         let Some(given) = state.ledger.end(grant, end, now) else { return };
@@ -216,9 +217,9 @@
     pub async fn ask(self: &Rc<Self>, grant: &Grant) -> RunEnd {
         let known = self.state.borrow().ledger.look_up(grant);
         if known == Known::Offered {
-            self.end(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.end(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
         }
-        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(Unknown::Silent))
+        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::Silent))
     }
 
     async fn ended(&self, grant: &Grant) -> RunEnd {
@@ -230,7 +231,7 @@
             match known {
                 Known::Offered | Known::Running => ended.await,
                 Known::Ended(it) => return it,
-                Known::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
+                Known::Unknown => return RunEnd::Unknown(UnknownReason::GuardGone),
             }
         }
     }
@@ -240,9 +241,10 @@
 fn use_of(end: &RunEnd) -> Use {
     match end {
         RunEnd::Answered { status, .. } if *status < 500 => Use::Answered,
-        RunEnd::Answered { .. } | RunEnd::Unknown(Unknown::Broken | Unknown::Ended | Unknown::Garbled) => Use::Failed,
+        RunEnd::Answered { .. }
+        | RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Ended | UnknownReason::Garbled) => Use::Failed,
         RunEnd::NotRun(_) => Use::Declined,
-        RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) => Use::Abandoned,
+        RunEnd::Unknown(UnknownReason::Silent | UnknownReason::GuardGone) => Use::Abandoned,
     }
 }
 
@@ -254,6 +256,6 @@
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        self.guard.end(self.grant, RunEnd::Unknown(Unknown::Silent));
+        self.guard.end(self.grant, RunEnd::Unknown(UnknownReason::Silent));
     }
 }
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -13,7 +13,7 @@
     proxy::{
         Proxy, clock,
         events::{Event, Failure},
-        message::{Ask, Grant, NotRun, Ran, Relay, Run, RunEnd, Unknown, path},
+        message::{Grant, NotRunReason, RelayedQuery, RunEnd, RunQuery, RunRequest, RunResponse, UnknownReason, path},
         peer::{Link, LinkError},
     },
 };
@@ -62,7 +62,7 @@
                 }
                 RunEnd::NotRun(why) => {
                     self.failed(job, &placed, Failure::NotRun(why), took);
-                    let reached = matches!(why, NotRun::Declined | NotRun::OtherInstance);
+                    let reached = matches!(why, NotRunReason::Declined | NotRunReason::OtherInstance);
                     moves += 1;
                     if reached {
                         tried.push(placed.grant.endpoint);
@@ -76,7 +76,7 @@
                 RunEnd::Unknown(why) => {
                     self.failed(job, &placed, Failure::Unknown(why), took);
                     // Silence lasts until the time is over: there is none left for another attempt.
-                    if why == Unknown::Silent {
+                    if why == UnknownReason::Silent {
                         return Verdict::OutOfTime;
                     }
                     if !job.idempotent() || !self.may_repeat(job) {
@@ -162,7 +162,7 @@
         let start = clock::now();
         job.attempts.set(job.attempts.get() + 1);
         job.open.set(job.open.get() + 1);
-        let run = Run {
+        let run = RunRequest {
             grant: placed.grant.clone(),
             request: job.request.clone(),
             repeat_share: if job.attempts.get() > 1 { 1.0 } else { job.repeat_share() },
@@ -173,30 +173,30 @@
             fingerprint: job.fingerprint,
         };
         let end = timeout(job.left(), self.run_at(job, &placed, run)).await;
-        let end = end.unwrap_or(RunEnd::Unknown(Unknown::Silent));
+        let end = end.unwrap_or(RunEnd::Unknown(UnknownReason::Silent));
         if !matches!(end, RunEnd::Unknown(_)) {
             job.open.set(job.open.get() - 1);
         }
         end
     }
 
-    async fn run_at(self: &Rc<Self>, job: &Job, placed: &Placed, run: Run) -> RunEnd {
+    async fn run_at(self: &Rc<Self>, job: &Job, placed: &Placed, run: RunRequest) -> RunEnd {
         let (name, link) = match &placed.guard {
             Guarded::Here => return self.guard.run(run).await,
             Guarded::There(name, link) => (name, link),
         };
-        match link.call::<_, Ran>(path::RUN, &run).await {
+        match link.call::<_, RunResponse>(path::RUN, &run).await {
             Ok(it) => {
                 self.take_news(it.news);
                 self.guard.take_case(job.fingerprint, it.case);
                 it.end
             }
-            Err(LinkError::NotConnected) => RunEnd::NotRun(NotRun::NoGrant),
+            Err(LinkError::NotConnected) => RunEnd::NotRun(NotRunReason::NoGrant),
             Err(error) => {
                 link.failed(clock::now());
                 log::debug!("request {}: {error}", job.request);
                 if job.idempotent() {
-                    RunEnd::Unknown(Unknown::GuardGone)
+                    RunEnd::Unknown(UnknownReason::GuardGone)
                 } else {
                     self.find_out(job, name, link, run.grant).await
                 }
@@ -207,14 +207,14 @@
     /// Asks what became of work that must not run twice, at its guard or through others, until it is
     /// known; its caller's time bounds this.
     async fn find_out(self: &Rc<Self>, job: &Job, name: &str, link: &Rc<Link>, grant: Grant) -> RunEnd {
-        let ask = Ask { grant };
+        let ask = RunQuery { grant };
         loop {
             let (through, found) = if link.is_connected() {
                 (name.into(), link.call_within::<_, RunEnd>(job.left(), path::ASK, &ask).await)
             } else {
                 match self.any_link_but(name, false) {
                     Some((helper, it)) => {
-                        let relay = Relay { to: link.address, ask: ask.clone() };
+                        let relay = RelayedQuery { to: link.address, ask: ask.clone() };
                         (helper, it.call_within::<_, RunEnd>(ASK_TIMEOUT, path::RELAY, &relay).await)
                     }
                     None => (name.into(), None),
@@ -229,7 +229,7 @@
             self.events.emit(&Event::Asked { request: &job.request, guard: name, through: &through, found: told });
             match found {
                 // The guard says so itself; a silent one is asked again.
-                Some(it) if it != RunEnd::Unknown(Unknown::Silent) => return it,
+                Some(it) if it != RunEnd::Unknown(UnknownReason::Silent) => return it,
                 Some(_) | None => sleep(ASK_PAUSE).await,
             }
         }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -27,7 +27,7 @@
         events::{Answered, Event},
         guard::Surroundings,
         headers,
-        message::{Arrival, Grant, Reserve, Whole},
+        message::{AttemptKind, Grant, HttpContent, ReserveRequest},
         peer::Link,
         routes::{Config, Repeat, Route, RouteName, ServiceName},
         server::{Answer, answer},
@@ -80,7 +80,7 @@
     rank: u32,
     method: Box<str>,
     target: Box<str>,
-    content: Whole,
+    content: HttpContent,
     arrived: Instant,
     /// Endpoints are told to stop by then: the caller's deadline, or the route's timeout.
     work_until: Instant,
@@ -140,7 +140,7 @@
 /// What a caller is told.
 enum Verdict {
     /// The endpoint's own answer.
-    Answer { status: u16, content: Whole },
+    Answer { status: u16, content: HttpContent },
     /// It did not run, and never will.
     NotRun(NoPlace),
     /// It may have run.
@@ -204,7 +204,7 @@
         released: Cell::new(false),
         method: head.method.as_str().into(),
         target: target.into(),
-        content: Whole::new(&passed_on, &body),
+        content: HttpContent::new(&passed_on, &body),
         arrived,
         work_until: caller_deadline.min(arrived + route.timeout),
         give_up: caller_deadline.min(arrived + route.timeout + TIMEOUT_SLACK),
@@ -249,7 +249,7 @@
 
 impl Proxy {
     /// What this proxy knows that bears on a place at its guard.
-    pub(super) fn surroundings(&self, req: &Reserve) -> Surroundings {
+    pub(super) fn surroundings(&self, req: &ReserveRequest) -> Surroundings {
         let tight = |service: &str| self.allowance_used(service);
         Surroundings {
             guards: self.directory.borrow_mut().guards_of(&req.service),
@@ -367,10 +367,10 @@
     }
 
     /// What the next attempt is to the allowance of its guard.
-    fn next_arrival(&self) -> Arrival {
+    fn next_arrival(&self) -> AttemptKind {
         match self.attempts.get() {
-            0 => Arrival::First { repeat_share: self.repeat_share() },
-            _ => Arrival::Repeat,
+            0 => AttemptKind::First { repeat_share: self.repeat_share() },
+            _ => AttemptKind::Repeat,
         }
     }
 
@@ -387,7 +387,7 @@
     }
 }
 
-fn endpoint_answer(status: u16, content: Whole) -> Answer {
+fn endpoint_answer(status: u16, content: HttpContent) -> Answer {
     let mut resp = Response::new(Full::new(Bytes::new()));
     *resp.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     *resp.headers_mut() = content.headers();
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -22,7 +22,7 @@
         directory::{EndpointRow, ProxyName},
         events::Event,
         guard::Serving,
-        message::{Grant, Refusal, Reserve, Reserved, path},
+        message::{Grant, GrantRefusal, ReserveRequest, ReserveResponse, path},
         peer::{Link, LinkError},
     },
 };
@@ -172,7 +172,8 @@
     /// Asks guards in order until one gives a place; `None` if all refused.
     async fn ask(self: &Rc<Self>, job: &Job, choice: &Choice, patience: Instant, start: Instant) -> Option<Placed> {
         let mut rest = choice.order.ask.iter();
-        let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, Refusal>)>> = FuturesUnordered::new();
+        let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, GrantRefusal>)>> =
+            FuturesUnordered::new();
         let asked_before = job.asked.get();
         let begin = tokio::time::Instant::now();
         loop {
@@ -207,7 +208,7 @@
                         Err(why) => {
                             let (guard, waited_ms) = (guard.name(self), waited.as_millis());
                             self.events.emit(&Event::NoPlace { request: &job.request, guard, why, waited_ms });
-                            if why == Refusal::Quarantined || (wishes.is_empty() && rest.len() == 0) {
+                            if why == GrantRefusal::Quarantined || (wishes.is_empty() && rest.len() == 0) {
                                 return None;
                             }
                         }
@@ -243,8 +244,8 @@
         at: usize,
         accepts: Standing,
         patience: Instant,
-    ) -> (usize, Result<Grant, Refusal>) {
-        let req = Reserve {
+    ) -> (usize, Result<Grant, GrantRefusal>) {
+        let req = ReserveRequest {
             from: self.name.clone(),
             version: self.version(),
             service: job.service.clone(),
@@ -266,7 +267,7 @@
             Guarded::There(_, link) => link,
         };
         link.asking();
-        match link.call::<_, Reserved>(path::RESERVE, &req).await {
+        match link.call::<_, ReserveResponse>(path::RESERVE, &req).await {
             Ok(it) => {
                 self.take_news(it.news);
                 if let Some(is_callers) = it.callers_route {
@@ -280,7 +281,7 @@
                     link.failed(clock::now());
                 }
                 log::debug!("request {}: {error}", job.request);
-                (at, Err(Refusal::Elsewhere))
+                (at, Err(GrantRefusal::Elsewhere))
             }
         }
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -44,7 +44,7 @@
 
 /// What an attempt is to the allowance for repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Arrival {
+pub enum AttemptKind {
     /// The first of its request.
     First {
         /// The part of it that counts as a repeat, 0 to 1: calls of repeated work do, and running work waits
@@ -55,7 +55,7 @@
     Repeat,
 }
 
-impl Arrival {
+impl AttemptKind {
     /// How much of it counts as a repeat, 0 to 1.
     pub fn repeat_share(self) -> f64 {
         match self {
@@ -67,7 +67,7 @@
 
 /// What a reserved place is for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reserve {
+pub struct ReserveRequest {
     /// The ingress.
     pub from: ProxyName,
     /// The version in force at the ingress.
@@ -81,7 +81,7 @@
     /// Whether a suspect endpoint may be tried with it.
     pub trial: bool,
     /// What it is to the allowance for repeats.
-    pub arrival: Arrival,
+    pub arrival: AttemptKind,
     /// Whether running work waits for this.
     pub call: bool,
     /// Whether a caller sent it for certain, as no work at the endpoint beside the ingress can have.
@@ -105,7 +105,7 @@
 
 /// What a guard tells with every reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct News {
+pub(super) struct GuardReport {
     /// What of its row changes often.
     pub brief: Brief,
     /// Requests at the endpoint, or permitted.
@@ -118,7 +118,7 @@
 
 /// Why a guard gives no place. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum GrantRefusal {
     /// The VM's endpoint is not there, leaves, or is another service's.
     Elsewhere,
     /// The endpoint is suspect or declines, and this work is not for it.
@@ -129,13 +129,13 @@
     Quarantined,
 }
 
-/// The answer to [`Reserve`].
+/// The answer to [`ReserveRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Reserved {
+pub(super) struct ReserveResponse {
     /// What the guard tells.
-    pub news: News,
+    pub news: GuardReport,
     /// The place, or why there is none.
-    pub result: Result<Grant, Refusal>,
+    pub result: Result<Grant, GrantRefusal>,
     /// Whether callers use the route, if the guard has heard of enough of its requests.
     pub callers_route: Option<bool>,
     /// What the guard knows against the request.
@@ -156,14 +156,14 @@
 
 /// A request or an answer, whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct HttpContent {
     /// End-to-end headers.
     headers: Vec<(Box<str>, ByteBuf)>,
     /// The body.
     pub body: ByteBuf,
 }
 
-impl Whole {
+impl HttpContent {
     /// Of these headers and this body.
     pub fn new(headers: &HeaderMap, body: &[u8]) -> Self {
         let headers =
@@ -188,7 +188,7 @@
 
 /// Work for a reserved place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunRequest {
     /// The place.
     pub grant: Grant,
     /// The attempt of the caller.
@@ -200,7 +200,7 @@
     /// Path and query.
     pub target: Box<str>,
     /// Headers and body.
-    pub content: Whole,
+    pub content: HttpContent,
     /// How long the answer is waited for.
     pub left: Duration,
     /// What the request asks for.
@@ -216,19 +216,19 @@
         /// Its status.
         status: u16,
         /// Headers and body.
-        content: Whole,
+        content: HttpContent,
         /// How long the endpoint took.
         took: Duration,
     },
     /// It did not run and never will.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
     /// It may have run.
-    Unknown(Unknown),
+    Unknown(UnknownReason),
 }
 
 /// Why work did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// The place was given back, or the guard does not know it.
     NoGrant,
     /// No connection to the endpoint could be opened.
@@ -241,7 +241,7 @@
 
 /// Why it is not known whether work ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unknown {
+pub enum UnknownReason {
     /// The connection to the endpoint broke.
     Broken,
     /// The endpoint ended while it had the work.
@@ -254,11 +254,11 @@
     GuardGone,
 }
 
-/// The answer to [`Run`].
+/// The answer to [`RunRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Ran {
+pub(super) struct RunResponse {
     /// What the guard tells.
-    pub news: News,
+    pub news: GuardReport,
     /// How it ended.
     pub end: RunEnd,
     /// What the guard now knows against the request.
@@ -268,18 +268,18 @@
 
 /// Asks what became of a place; one that was not used yet is taken back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Ask {
+pub(super) struct RunQuery {
     /// The place.
     pub grant: Grant,
 }
 
-/// An [`Ask`] for a guard that the sender can't reach itself.
+/// An [`RunQuery`] for a guard that the sender can't reach itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Relay {
+pub(super) struct RelayedQuery {
     /// The guard.
     pub to: SocketAddr,
     /// The question.
-    pub ask: Ask,
+    pub ask: RunQuery,
 }
 
 /// Who calls, and how it stands.
@@ -295,7 +295,7 @@
 
 /// The answer to [`Hello`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Welcome {
+pub(super) struct HelloResponse {
     /// The answerer's row.
     pub row: Row,
     /// What of it changes often.
@@ -307,7 +307,7 @@
 
 /// What two proxies compare first; most of the time they agree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Summary {
+pub(super) struct StateSummary {
     /// Differs where any row of the directories differs.
     pub digest: u64,
     /// The version in force.
@@ -324,7 +324,7 @@
 
 /// What a proxy knows against requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Cases {
+pub(super) struct QuarantineExchange {
     /// The cases.
     pub cases: Vec<ToldCase>,
     /// The receiver's are wanted in return.
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -12,7 +12,10 @@
     platform::ParsedConfig,
     proxy::{
         Proxy, client,
-        message::{Ask, News, Ran, Relay, Reserve, Reserved, Run, RunEnd, Unknown, path},
+        message::{
+            GuardReport, RelayedQuery, ReserveRequest, ReserveResponse, RunEnd, RunQuery, RunRequest, RunResponse,
+            UnknownReason, path,
+        },
         peer::{Link, LinkError},
         routes::Version,
         server::{Answer, answer},
@@ -35,7 +38,7 @@
     match head.uri.path() {
         path::RESERVE => reply(&body, |it| proxy.reserve(it)).await,
         path::RUN => reply(&body, |it| proxy.run_here(it)).await,
-        path::ASK => reply(&body, async |it: Ask| proxy.guard.ask(&it.grant).await).await,
+        path::ASK => reply(&body, async |it: RunQuery| proxy.guard.ask(&it.grant).await).await,
         path::RELAY => reply(&body, |it| proxy.relay(it)).await,
         path::HELLO => reply(&body, async |it| proxy.welcome(it)).await,
         path::BRIEF => reply(&body, async |it| proxy.take_brief(&it)).await,
@@ -67,12 +70,12 @@
 }
 
 impl Proxy {
-    fn news(&self) -> News {
+    fn news(&self) -> GuardReport {
         let (running, waiting) = self.guard.load();
-        News { brief: self.brief(), running, waiting, allowance_used: self.guard.allowance_used() }
+        GuardReport { brief: self.brief(), running, waiting, allowance_used: self.guard.allowance_used() }
     }
 
-    async fn reserve(self: &Rc<Self>, req: Reserve) -> Reserved {
+    async fn reserve(self: &Rc<Self>, req: ReserveRequest) -> ReserveResponse {
         if req.version > self.version()
             && let Some(it) = self.link(&req.from)
         {
@@ -81,27 +84,27 @@
         }
         let result = self.guard.reserve(&req, self.surroundings(&req)).await;
         let case = self.guard.case(req.fingerprint);
-        Reserved { news: self.news(), result, callers_route: self.guard.is_callers_route(&req.route), case }
+        ReserveResponse { news: self.news(), result, callers_route: self.guard.is_callers_route(&req.route), case }
     }
 
-    async fn run_here(self: &Rc<Self>, run: Run) -> Ran {
+    async fn run_here(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
-        Ran { news: self.news(), end, case: self.guard.case(fingerprint) }
+        RunResponse { news: self.news(), end, case: self.guard.case(fingerprint) }
     }
 
-    async fn relay(self: &Rc<Self>, relay: Relay) -> RunEnd {
+    async fn relay(self: &Rc<Self>, relay: RelayedQuery) -> RunEnd {
         match self.ask_at(&relay).await {
             Ok(it) => it,
             Err(error) => {
                 log::debug!("relaying to {}: {error}", relay.to);
-                RunEnd::Unknown(Unknown::Silent)
+                RunEnd::Unknown(UnknownReason::Silent)
             }
         }
     }
 
     /// Asks a guard, on the link to it or on a connection of its own.
-    async fn ask_at(&self, relay: &Relay) -> Result<RunEnd, LinkError> {
+    async fn ask_at(&self, relay: &RelayedQuery) -> Result<RunEnd, LinkError> {
         let link = self.links.borrow().iter().find(|it| it.1.address == relay.to).map(|it| Rc::clone(&it.1));
         if let Some(it) = link {
             return it.call(path::ASK, &relay.ask).await;
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -14,7 +14,7 @@
         Proxy, clock,
         directory::{Brief, Current, Row},
         events::Event,
-        message::{Deliver, Delivered, Hello, News, Summary, Welcome, path},
+        message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
         peer::Link,
     },
     rows::{Compare, Compared, Stamp},
@@ -58,8 +58,8 @@
     }
 
     /// Takes in what a peer told with a reply.
-    pub(super) fn take_news(self: &Rc<Self>, news: News) {
-        let News { brief, running, waiting, allowance_used } = news;
+    pub(super) fn take_news(self: &Rc<Self>, news: GuardReport) {
+        let GuardReport { brief, running, waiting, allowance_used } = news;
         if let Some(link) = self.link(&brief.name) {
             link.told(running + waiting, clock::now());
             let service = self.directory.borrow().by_key(link.key).map(|it| it.endpoints.service.clone());
@@ -131,7 +131,7 @@
             sleep(GATHER).await;
             if fully {
                 let hello = Hello { row: self.row(), current: self.current(), chosen: link.chosen.get() };
-                if let Some(it) = link.call_within::<_, Welcome>(HELLO_TIMEOUT, path::HELLO, &hello).await {
+                if let Some(it) = link.call_within::<_, HelloResponse>(HELLO_TIMEOUT, path::HELLO, &hello).await {
                     self.take_welcome(link, it);
                 }
             } else {
@@ -141,15 +141,15 @@
         }
     }
 
-    fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: Welcome) {
-        let Welcome { row, current, newer } = welcome;
+    fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
+        let HelloResponse { row, current, newer } = welcome;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
         self.take_rows([row].into_iter().chain(newer).collect());
         self.take_current(&name, link, stamp, current);
     }
 
     /// Answers a peer's hello, and links back to one that chose this proxy.
-    pub(super) fn welcome(self: &Rc<Self>, hello: Hello) -> Welcome {
+    pub(super) fn welcome(self: &Rc<Self>, hello: Hello) -> HelloResponse {
         let Hello { row, current, chosen } = hello;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
         if chosen {
@@ -161,7 +161,7 @@
             self.take_current(&name, &link, stamp, current);
         }
         let known = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
-        Welcome { row: self.row(), current: self.current(), newer: known }
+        HelloResponse { row: self.row(), current: self.current(), newer: known }
     }
 
     /// Tells linked peers when this proxy's row changes, or its endpoint's standing.
@@ -215,7 +215,8 @@
 
     /// Compares directories with a peer, and evens out what differs.
     async fn exchange(self: &Rc<Self>, link: &Rc<Link>) {
-        let Some(theirs) = link.call_within::<_, Summary>(HELLO_TIMEOUT, path::SUMMARY, &self.summary()).await else {
+        let Some(theirs) = link.call_within::<_, StateSummary>(HELLO_TIMEOUT, path::SUMMARY, &self.summary()).await
+        else {
             return;
         };
         self.take_summary(theirs, link);
@@ -233,8 +234,8 @@
         }
     }
 
-    fn summary(&self) -> Summary {
-        Summary {
+    fn summary(&self) -> StateSummary {
+        StateSummary {
             digest: self.directory.borrow().digest(),
             version: self.version(),
             confirmed_ago: self.confirmed_ago(),
@@ -244,7 +245,7 @@
     }
 
     /// Takes in what a peer says of the configuration.
-    fn take_summary(self: &Rc<Self>, theirs: Summary, link: &Rc<Link>) {
+    fn take_summary(self: &Rc<Self>, theirs: StateSummary, link: &Rc<Link>) {
         if theirs.version > self.version() {
             self.fetch_config(link);
         }
@@ -252,7 +253,7 @@
     }
 
     /// Takes in how long ago the store confirmed the version in force, if a peer speaks of that one.
-    fn take_confirmation(&self, theirs: Summary) {
+    fn take_confirmation(&self, theirs: StateSummary) {
         if let Some(it) = theirs.era {
             self.store.note_era(it);
         }
@@ -264,7 +265,7 @@
     }
 
     /// Answers the opening of an exchange.
-    pub(super) fn summarize(&self, theirs: Summary) -> Summary {
+    pub(super) fn summarize(&self, theirs: StateSummary) -> StateSummary {
         self.take_confirmation(theirs);
         self.summary()
     }
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -14,7 +14,7 @@
     explain::{Line, Subject, explain},
     proxy::{
         events::{Answered, Event, Events, Failure},
-        message::Unknown,
+        message::UnknownReason,
     },
 };
 use rstest::rstest;
@@ -182,7 +182,7 @@
         fingerprint: Fingerprint::default(),
         guard: "vm-2",
         attempt: 1,
-        why: Failure::Unknown(Unknown::Ended),
+        why: Failure::Unknown(UnknownReason::Ended),
         took_ms: 31,
     };
     let Event::Answered(it) = answered("r1", 502) else { unreachable!("it is one") };
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -9,7 +9,7 @@
     decide::{fingerprint::Fingerprint, life::EndpointId, quarantine::Case},
     proxy::{
         guard::ledger::{Known, Ledger, Purpose, Running},
-        message::{Grant, NotRun, RunEnd, Unknown},
+        message::{Grant, NotRunReason, RunEnd, UnknownReason},
     },
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -111,7 +111,7 @@
     fn ask(&mut self, guard: usize, grant: &Grant) -> Option<RunEnd> {
         match self.guards[guard].look_up(grant) {
             Known::Offered => {
-                let end = RunEnd::NotRun(NotRun::NoGrant);
+                let end = RunEnd::NotRun(NotRunReason::NoGrant);
                 if self.fault != Fault::NotTakenBack {
                     self.guards[guard].end(grant.id, end.clone(), self.now);
                 }
@@ -119,8 +119,8 @@
             }
             Known::Running => None,
             Known::Ended(it) => Some(it),
-            Known::Unknown if self.fault == Fault::ForgottenIsUnused => Some(RunEnd::NotRun(NotRun::NoGrant)),
-            Known::Unknown => Some(RunEnd::Unknown(Unknown::GuardGone)),
+            Known::Unknown if self.fault == Fault::ForgottenIsUnused => Some(RunEnd::NotRun(NotRunReason::NoGrant)),
+            Known::Unknown => Some(RunEnd::Unknown(UnknownReason::GuardGone)),
         }
     }
 
@@ -142,13 +142,13 @@
             4 | 5 if !self.working.is_empty() => {
                 let at = self.rng.random_range(0..self.working.len());
                 let (guard, grant) = self.working.swap_remove(at);
-                self.guards[guard].end(grant.id, RunEnd::Unknown(Unknown::Broken), self.now);
+                self.guards[guard].end(grant.id, RunEnd::Unknown(UnknownReason::Broken), self.now);
             }
             6 => {
                 let guard = self.rng.random_range(0..2);
                 // Places that are not used in time are taken back.
                 for id in self.guards[guard].offered() {
-                    self.guards[guard].end(id, RunEnd::NotRun(NotRun::NoGrant), self.now);
+                    self.guards[guard].end(id, RunEnd::NotRun(NotRunReason::NoGrant), self.now);
                 }
             }
             7 if self.rng.random_bool(0.2) => {
@@ -237,11 +237,11 @@
     let grant = ledger.offer(endpoint(), purpose.clone());
     let other = ledger.offer(endpoint(), purpose);
 
-    ledger.end(grant.id, RunEnd::NotRun(NotRun::Declined), now);
+    ledger.end(grant.id, RunEnd::NotRun(NotRunReason::Declined), now);
     let soon = ledger.look_up(&grant);
-    ledger.end(other.id, RunEnd::NotRun(NotRun::NoGrant), now + Duration::from_secs(30));
+    ledger.end(other.id, RunEnd::NotRun(NotRunReason::NoGrant), now + Duration::from_secs(30));
 
-    assert_eq!(soon, Known::Ended(RunEnd::NotRun(NotRun::Declined)));
+    assert_eq!(soon, Known::Ended(RunEnd::NotRun(NotRunReason::Declined)));
     assert_eq!(ledger.look_up(&grant), Known::Unknown);
     assert!(ledger.is_empty());
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -8,7 +8,7 @@
         quarantine::{Case, Quarantine, ToldCase},
         suspicion::Standing,
     },
-    proxy::message::{Arrival, Reserve},
+    proxy::message::{AttemptKind, ReserveRequest},
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -197,12 +197,12 @@
 #[test]
 fn a_reservation_of_an_earlier_release_is_understood() {
     let useful_for = Duration::from_secs(1);
-    let arrival = Arrival::First { repeat_share: 0.0 };
+    let arrival = AttemptKind::First { repeat_share: 0.0 };
     let earlier =
         ("vm-1", 7_u64, "desk", "read", true, true, arrival, false, false, 2_u32, useful_for, Standing::default());
 
     let bytes = rmp_serde::to_vec(&earlier).expect("messages can be coded");
-    let reserve: Reserve = rmp_serde::from_slice(&bytes).expect("it is understood");
+    let reserve: ReserveRequest = rmp_serde::from_slice(&bytes).expect("it is understood");
 
     assert_eq!((&*reserve.route, reserve.case, reserve.released), ("read", Case::default(), false));
 }
