--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -76,7 +76,7 @@
                 RunEnd::Unknown(UnknownReason::Ended)
             }
             Ok(it) => it,
-            Err(_) => RunEnd::Unknown(UnknownReason::Silent),
+            Err(_) => RunEnd::Unknown(UnknownReason::TimedOut),
         }
     }
 
@@ -171,7 +171,7 @@
         };
         // Another request's late answer proves nothing of this one.
         if platform::request_id(&head.headers).is_some_and(|it| *it != *req.request) {
-            return RunEnd::Unknown(UnknownReason::Garbled);
+            return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
         if head.status.as_u16() == 421 {
             self.keep(connection, &head.headers);
@@ -183,7 +183,7 @@
         }
         // Callers ask for plain bodies: a coded one isn't the endpoint's.
         if !platform::is_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
-            return RunEnd::Unknown(UnknownReason::Garbled);
+            return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
         self.keep(connection, &head.headers);
         let content = HttpContent::new(&headers::end_to_end(&head.headers), &body);
--- a/src/proxy/guard/places.rs
+++ b/src/proxy/guard/places.rs
@@ -33,7 +33,7 @@
         let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
         let mut wish = Wish { guard: self, id, rx };
         self.pump();
-        (&mut wish.rx).await.unwrap_or(Err(GrantRefusal::Elsewhere))
+        (&mut wish.rx).await.unwrap_or(Err(GrantRefusal::NotServed))
     }
 
     /// Gives free places to those that wait, in order, and turns those away that can't begin here.
@@ -75,26 +75,26 @@
         tx: PlaceSender,
         now: Instant,
     ) -> Result<WaiterId, GrantRefusal> {
-        let endpoint = self.endpoint.as_ref().ok_or(GrantRefusal::Elsewhere)?;
+        let endpoint = self.endpoint.as_ref().ok_or(GrantRefusal::NotServed)?;
         let leaves = endpoint.announced.phase == EndpointPhase::Leaving;
         if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
-            return Err(GrantRefusal::Elsewhere);
+            return Err(GrantRefusal::NotServed);
         }
-        if self.quarantine.case(req.fingerprint).is_held() && !req.released {
+        if self.quarantine.case(req.fingerprint).is_held() && !req.is_quarantine_trial {
             return Err(GrantRefusal::Quarantined);
         }
-        self.origins.count(&req.route, req.certain_caller);
-        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.trials()), now) {
+        self.origins.count(&req.route, req.is_certain_caller_request);
+        if !endpoint.record.admits(req.worst_standing, req.allows_endpoint_trial, count(self.ledger.trials()), now) {
             return Err(GrantRefusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
-        let call = req.call && self.origins.says(&req.route) != Some(true);
+        let call = req.is_nested_call && self.origins.says(&req.route) != Some(true);
         self.allowance.share_with(known.guards);
-        if req.arrival == AttemptKind::Repeat {
+        if req.attempt_kind == AttemptKind::Retry {
             let repeat = Repeat { rank: req.rank, call };
             self.allowance.want(repeat, now);
             if known.calls_tight || !self.allowance.allows(repeat, now) {
-                return Err(GrantRefusal::NoAllowance);
+                return Err(GrantRefusal::RetryBudgetExhausted);
             }
         }
         self.last_waiter += 1;
@@ -104,15 +104,15 @@
             call,
             rank: req.rank,
             idempotent: req.idempotent,
-            trial: req.trial,
-            accepts: req.accepts,
+            trial: req.allows_endpoint_trial,
+            accepts: req.worst_standing,
             arrived: now,
-            useful_until: now + req.useful_for,
-            needs_allowance: req.arrival == AttemptKind::Repeat,
-            repeat_share: req.arrival.repeat_share(),
+            useful_until: now + req.start_within,
+            needs_allowance: req.attempt_kind == AttemptKind::Retry,
+            repeat_share: req.attempt_kind.retry_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
-            released: req.released,
+            released: req.is_quarantine_trial,
         });
         self.senders.push((id, tx));
         Ok(id)
@@ -164,10 +164,12 @@
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
             _ if quarantine.case(it.fingerprint).is_held() && !it.released => Some(GrantRefusal::Quarantined),
-            None => Some(GrantRefusal::Elsewhere),
-            Some(_) if !fits(*ends, pace, &it.route, now) => Some(GrantRefusal::Elsewhere),
+            None => Some(GrantRefusal::NotServed),
+            Some(_) if !fits(*ends, pace, &it.route, now) => Some(GrantRefusal::NotServed),
             Some(endpoint) if !endpoint.record.admits(it.accepts, it.trial, 0, now) => Some(GrantRefusal::Suspect),
-            Some(_) if it.needs_allowance && !allowance.allows(it.repeat(), now) => Some(GrantRefusal::NoAllowance),
+            Some(_) if it.needs_allowance && !allowance.allows(it.repeat(), now) => {
+                Some(GrantRefusal::RetryBudgetExhausted)
+            }
             Some(_) => None,
         };
         while let Some(waiter) = queue.take(|it| refusal(it).is_some()) {
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -81,10 +81,10 @@
         }
         let now = clock::now();
         let running = Running {
-            repeat_share: run.repeat_share,
+            repeat_share: run.retry_share,
             known,
             begun: now,
-            until: now + run.left,
+            until: now + run.timeout,
             failed_calls: Vec::new(),
             explained: false,
         };
@@ -100,7 +100,16 @@
     }
 
     async fn execute(self: Rc<Self>, run: RunRequest, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
-        let RunRequest { grant, request, method, target, content, left, repeat_share: _, fingerprint: _ } = run;
+        let RunRequest {
+            grant,
+            request_id: request,
+            method,
+            target,
+            content,
+            timeout: left,
+            retry_share: _,
+            fingerprint: _,
+        } = run;
         let mut head = hyper::Request::new(());
         match (method.parse(), target.parse()) {
             (Ok(method), Ok(target)) => {
@@ -152,14 +161,14 @@
             RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
             RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure(grant.id) => return,
             RunEnd::Answered { .. } => (failure, "failed"),
-            RunEnd::Unknown(UnknownReason::Silent | UnknownReason::GuardGone)
+            RunEnd::Unknown(UnknownReason::TimedOut | UnknownReason::GuardStateLost)
             | RunEnd::NotRun(NotRunReason::NoGrant) => return,
             RunEnd::Unknown(UnknownReason::Ended) => {
                 self.blame_work_at(&grant.endpoint);
                 self.tell_ended(grant, request, took);
                 (Sample::Bad, "ended")
             }
-            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Garbled) => (failure, "broken"),
+            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::MalformedAnswer) => (failure, "broken"),
             RunEnd::NotRun(NotRunReason::Declined) => (Sample::Declined, "declined"),
             RunEnd::NotRun(NotRunReason::NoConnection) => {
                 self.forget_if_silent(&grant.endpoint);
@@ -219,7 +228,7 @@
         if known == Known::Offered {
             self.end(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
         }
-        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::Silent))
+        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::TimedOut))
     }
 
     async fn ended(&self, grant: &Grant) -> RunEnd {
@@ -231,7 +240,7 @@
             match known {
                 Known::Offered | Known::Running => ended.await,
                 Known::Ended(it) => return it,
-                Known::Unknown => return RunEnd::Unknown(UnknownReason::GuardGone),
+                Known::Unknown => return RunEnd::Unknown(UnknownReason::GuardStateLost),
             }
         }
     }
@@ -242,9 +251,9 @@
     match end {
         RunEnd::Answered { status, .. } if *status < 500 => Use::Answered,
         RunEnd::Answered { .. }
-        | RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Ended | UnknownReason::Garbled) => Use::Failed,
+        | RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Ended | UnknownReason::MalformedAnswer) => Use::Failed,
         RunEnd::NotRun(_) => Use::Declined,
-        RunEnd::Unknown(UnknownReason::Silent | UnknownReason::GuardGone) => Use::Abandoned,
+        RunEnd::Unknown(UnknownReason::TimedOut | UnknownReason::GuardStateLost) => Use::Abandoned,
     }
 }
 
@@ -256,6 +265,6 @@
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        self.guard.end(self.grant, RunEnd::Unknown(UnknownReason::Silent));
+        self.guard.end(self.grant, RunEnd::Unknown(UnknownReason::TimedOut));
     }
 }
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -76,7 +76,7 @@
                 RunEnd::Unknown(why) => {
                     self.failed(job, &placed, Failure::Unknown(why), took);
                     // Silence lasts until the time is over: there is none left for another attempt.
-                    if why == UnknownReason::Silent {
+                    if why == UnknownReason::TimedOut {
                         return Verdict::OutOfTime;
                     }
                     if !job.idempotent() || !self.may_repeat(job) {
@@ -164,16 +164,16 @@
         job.open.set(job.open.get() + 1);
         let run = RunRequest {
             grant: placed.grant.clone(),
-            request: job.request.clone(),
-            repeat_share: if job.attempts.get() > 1 { 1.0 } else { job.repeat_share() },
+            request_id: job.request.clone(),
+            retry_share: if job.attempts.get() > 1 { 1.0 } else { job.repeat_share() },
             method: job.method.clone(),
             target: job.target.clone(),
             content: job.content.clone(),
-            left: job.work_until.saturating_duration_since(start),
+            timeout: job.work_until.saturating_duration_since(start),
             fingerprint: job.fingerprint,
         };
         let end = timeout(job.left(), self.run_at(job, &placed, run)).await;
-        let end = end.unwrap_or(RunEnd::Unknown(UnknownReason::Silent));
+        let end = end.unwrap_or(RunEnd::Unknown(UnknownReason::TimedOut));
         if !matches!(end, RunEnd::Unknown(_)) {
             job.open.set(job.open.get() - 1);
         }
@@ -187,7 +187,7 @@
         };
         match link.call::<_, RunResponse>(path::RUN, &run).await {
             Ok(it) => {
-                self.take_news(it.news);
+                self.take_news(it.report);
                 self.guard.take_case(job.fingerprint, it.case);
                 it.end
             }
@@ -196,7 +196,7 @@
                 link.failed(clock::now());
                 log::debug!("request {}: {error}", job.request);
                 if job.idempotent() {
-                    RunEnd::Unknown(UnknownReason::GuardGone)
+                    RunEnd::Unknown(UnknownReason::GuardStateLost)
                 } else {
                     self.find_out(job, name, link, run.grant).await
                 }
@@ -229,7 +229,7 @@
             self.events.emit(&Event::Asked { request: &job.request, guard: name, through: &through, found: told });
             match found {
                 // The guard says so itself; a silent one is asked again.
-                Some(it) if it != RunEnd::Unknown(UnknownReason::Silent) => return it,
+                Some(it) if it != RunEnd::Unknown(UnknownReason::TimedOut) => return it,
                 Some(_) | None => sleep(ASK_PAUSE).await,
             }
         }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -369,8 +369,8 @@
     /// What the next attempt is to the allowance of its guard.
     fn next_arrival(&self) -> AttemptKind {
         match self.attempts.get() {
-            0 => AttemptKind::First { repeat_share: self.repeat_share() },
-            _ => AttemptKind::Repeat,
+            0 => AttemptKind::First { retry_share: self.repeat_share() },
+            _ => AttemptKind::Retry,
         }
     }
 
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -246,21 +246,21 @@
         patience: Instant,
     ) -> (usize, Result<Grant, GrantRefusal>) {
         let req = ReserveRequest {
-            from: self.name.clone(),
+            ingress: self.name.clone(),
             version: self.version(),
             service: job.service.clone(),
             route: job.route().name.clone(),
             fingerprint: job.fingerprint,
             case: self.guard.case(job.fingerprint),
-            released: job.released.get(),
+            is_quarantine_trial: job.released.get(),
             idempotent: job.idempotent(),
-            trial: Self::may_be_trial(job),
-            arrival: job.next_arrival(),
-            call: job.is_call(),
-            certain_caller: job.origin == Origin::Caller { certain: true },
+            allows_endpoint_trial: Self::may_be_trial(job),
+            attempt_kind: job.next_arrival(),
+            is_nested_call: job.is_call(),
+            is_certain_caller_request: job.origin == Origin::Caller { certain: true },
             rank: job.rank,
-            useful_for: patience.saturating_duration_since(clock::now()),
-            accepts,
+            start_within: patience.saturating_duration_since(clock::now()),
+            worst_standing: accepts,
         };
         let link = match guard {
             Guarded::Here => return (at, self.guard.reserve(&req, self.surroundings(&req)).await),
@@ -269,8 +269,8 @@
         link.asking();
         match link.call::<_, ReserveResponse>(path::RESERVE, &req).await {
             Ok(it) => {
-                self.take_news(it.news);
-                if let Some(is_callers) = it.callers_route {
+                self.take_news(it.report);
+                if let Some(is_callers) = it.is_caller_route {
                     self.guard.tell_callers_route(&req.route, is_callers);
                 }
                 self.guard.take_case(req.fingerprint, it.case);
@@ -281,7 +281,7 @@
                     link.failed(clock::now());
                 }
                 log::debug!("request {}: {error}", job.request);
-                (at, Err(GrantRefusal::Elsewhere))
+                (at, Err(GrantRefusal::NotServed))
             }
         }
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -49,18 +49,20 @@
     First {
         /// The part of it that counts as a repeat, 0 to 1: calls of repeated work do, and running work waits
         /// for them.
-        repeat_share: f64,
+        #[serde(rename = "repeat_share")]
+        retry_share: f64,
     },
     /// One more of its request; needs an allowance.
-    Repeat,
+    #[serde(rename = "Repeat")]
+    Retry,
 }
 
 impl AttemptKind {
     /// How much of it counts as a repeat, 0 to 1.
-    pub fn repeat_share(self) -> f64 {
+    pub fn retry_share(self) -> f64 {
         match self {
-            Self::First { repeat_share } => repeat_share,
-            Self::Repeat => 1.0,
+            Self::First { retry_share } => retry_share,
+            Self::Retry => 1.0,
         }
     }
 }
@@ -69,7 +71,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReserveRequest {
     /// The ingress.
-    pub from: ProxyName,
+    #[serde(rename = "from")]
+    pub ingress: ProxyName,
     /// The version in force at the ingress.
     pub version: Version,
     /// The service that must do the work.
@@ -79,19 +82,25 @@
     /// Whether the work may run again.
     pub idempotent: bool,
     /// Whether a suspect endpoint may be tried with it.
-    pub trial: bool,
+    #[serde(rename = "trial")]
+    pub allows_endpoint_trial: bool,
     /// What it is to the allowance for repeats.
-    pub arrival: AttemptKind,
+    #[serde(rename = "arrival")]
+    pub attempt_kind: AttemptKind,
     /// Whether running work waits for this.
-    pub call: bool,
+    #[serde(rename = "call")]
+    pub is_nested_call: bool,
     /// Whether a caller sent it for certain, as no work at the endpoint beside the ingress can have.
-    pub certain_caller: bool,
+    #[serde(rename = "certain_caller")]
+    pub is_certain_caller_request: bool,
     /// The rank of its class, or of the work that made it; 0 goes first.
     pub rank: u32,
     /// After this it is of less use to begin.
-    pub useful_for: Duration,
+    #[serde(rename = "useful_for")]
+    pub start_within: Duration,
     /// Up to this standing an endpoint is good enough for it.
-    pub accepts: Standing,
+    #[serde(rename = "accepts")]
+    pub worst_standing: Standing,
     /// What the request asks for; proxies of earlier releases don't say it, nor what follows.
     #[serde(default)]
     pub fingerprint: Fingerprint,
@@ -99,32 +108,36 @@
     #[serde(default)]
     pub case: Case,
     /// It is the trial of a request that is held back.
-    #[serde(default)]
-    pub released: bool,
+    #[serde(default, rename = "released")]
+    pub is_quarantine_trial: bool,
 }
 
 /// What a guard tells with every reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct GuardReport {
     /// What of its row changes often.
-    pub brief: Brief,
+    #[serde(rename = "brief")]
+    pub update: Brief,
     /// Requests at the endpoint, or permitted.
     pub running: u32,
     /// Requests that wait.
     pub waiting: u32,
     /// Its allowance for repeats is used up.
-    pub allowance_used: bool,
+    #[serde(rename = "allowance_used")]
+    pub retry_budget_exhausted: bool,
 }
 
 /// Why a guard gives no place. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantRefusal {
     /// The VM's endpoint is not there, leaves, or is another service's.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotServed,
     /// The endpoint is suspect or declines, and this work is not for it.
     Suspect,
     /// The endpoint has had as many repeats as it may.
-    NoAllowance,
+    #[serde(rename = "NoAllowance")]
+    RetryBudgetExhausted,
     /// The request ends the endpoints that work on it.
     Quarantined,
 }
@@ -133,11 +146,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct ReserveResponse {
     /// What the guard tells.
-    pub news: GuardReport,
+    #[serde(rename = "news")]
+    pub report: GuardReport,
     /// The place, or why there is none.
     pub result: Result<Grant, GrantRefusal>,
     /// Whether callers use the route, if the guard has heard of enough of its requests.
-    pub callers_route: Option<bool>,
+    #[serde(rename = "callers_route")]
+    pub is_caller_route: Option<bool>,
     /// What the guard knows against the request.
     #[serde(default)]
     pub case: Case,
@@ -192,9 +207,11 @@
     /// The place.
     pub grant: Grant,
     /// The attempt of the caller.
-    pub request: Box<str>,
+    #[serde(rename = "request")]
+    pub request_id: Box<str>,
     /// How much of this counts as a repeat, 0 to 1; its own calls count alike.
-    pub repeat_share: f64,
+    #[serde(rename = "repeat_share")]
+    pub retry_share: f64,
     /// The method.
     pub method: Box<str>,
     /// Path and query.
@@ -202,7 +219,8 @@
     /// Headers and body.
     pub content: HttpContent,
     /// How long the answer is waited for.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub timeout: Duration,
     /// What the request asks for.
     #[serde(default)]
     pub fingerprint: Fingerprint,
@@ -247,18 +265,22 @@
     /// The endpoint ended while it had the work.
     Ended,
     /// What came is not the endpoint's whole answer to this request.
-    Garbled,
+    #[serde(rename = "Garbled")]
+    MalformedAnswer,
     /// No answer within the time that was left.
-    Silent,
+    #[serde(rename = "Silent")]
+    TimedOut,
     /// The guard is gone, and what it knew.
-    GuardGone,
+    #[serde(rename = "GuardGone")]
+    GuardStateLost,
 }
 
 /// The answer to [`RunRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct RunResponse {
     /// What the guard tells.
-    pub news: GuardReport,
+    #[serde(rename = "news")]
+    pub report: GuardReport,
     /// How it ended.
     pub end: RunEnd,
     /// What the guard now knows against the request.
@@ -288,9 +310,11 @@
     /// The sender's row.
     pub row: Row,
     /// What of it changes often.
-    pub current: Current,
+    #[serde(rename = "current")]
+    pub status: Current,
     /// The sender keeps a connection because it chose the receiver, and wants to be told how its endpoint stands.
-    pub chosen: bool,
+    #[serde(rename = "chosen")]
+    pub selected: bool,
 }
 
 /// The answer to [`Hello`].
@@ -299,10 +323,12 @@
     /// The answerer's row.
     pub row: Row,
     /// What of it changes often.
-    pub current: Current,
+    #[serde(rename = "current")]
+    pub status: Current,
     /// The caller's row as known here, if that is newer than what the caller says: of an earlier run, before the
     /// caller's clock was set back.
-    pub newer: Option<Row>,
+    #[serde(rename = "newer")]
+    pub newer_caller_row: Option<Row>,
 }
 
 /// What two proxies compare first; most of the time they agree.
@@ -315,11 +341,11 @@
     /// How long ago someone had the store's answer that this is the newest, as far as the sender knows.
     pub confirmed_ago: Option<Duration>,
     /// Differs where what is known against any request differs.
-    #[serde(default)]
-    pub cases: u64,
+    #[serde(default, rename = "cases")]
+    pub cases_digest: u64,
     /// The newest era of the store that the sender heard of.
-    #[serde(default)]
-    pub era: Option<Era>,
+    #[serde(default, rename = "era")]
+    pub store_era: Option<Era>,
 }
 
 /// What a proxy knows against requests.
@@ -328,7 +354,8 @@
     /// The cases.
     pub cases: Vec<ToldCase>,
     /// The receiver's are wanted in return.
-    pub exchange: bool,
+    #[serde(rename = "exchange")]
+    pub wants_reply: bool,
 }
 
 /// Ends an exchange of rows.
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -70,27 +70,32 @@
 }
 
 impl Proxy {
-    fn news(&self) -> GuardReport {
+    fn guard_report(&self) -> GuardReport {
         let (running, waiting) = self.guard.load();
-        GuardReport { brief: self.brief(), running, waiting, allowance_used: self.guard.allowance_used() }
+        GuardReport { update: self.brief(), running, waiting, retry_budget_exhausted: self.guard.allowance_used() }
     }
 
     async fn reserve(self: &Rc<Self>, req: ReserveRequest) -> ReserveResponse {
         if req.version > self.version()
-            && let Some(it) = self.link(&req.from)
+            && let Some(it) = self.link(&req.ingress)
         {
             // Its answer tells the version, and the configuration is fetched.
             it.greet_fully();
         }
         let result = self.guard.reserve(&req, self.surroundings(&req)).await;
         let case = self.guard.case(req.fingerprint);
-        ReserveResponse { news: self.news(), result, callers_route: self.guard.is_callers_route(&req.route), case }
+        ReserveResponse {
+            report: self.guard_report(),
+            result,
+            is_caller_route: self.guard.is_callers_route(&req.route),
+            case,
+        }
     }
 
     async fn run_here(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
-        RunResponse { news: self.news(), end, case: self.guard.case(fingerprint) }
+        RunResponse { report: self.guard_report(), end, case: self.guard.case(fingerprint) }
     }
 
     async fn relay(self: &Rc<Self>, relay: RelayedQuery) -> RunEnd {
@@ -98,7 +103,7 @@
             Ok(it) => it,
             Err(error) => {
                 log::debug!("relaying to {}: {error}", relay.to);
-                RunEnd::Unknown(UnknownReason::Silent)
+                RunEnd::Unknown(UnknownReason::TimedOut)
             }
         }
     }
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -45,7 +45,7 @@
             for fingerprint in self.guard.take_found() {
                 spawn_local(Rc::clone(&self).write_down(fingerprint));
             }
-            let news = QuarantineExchange { cases: self.guard.take_quarantine_news(), exchange: false };
+            let news = QuarantineExchange { cases: self.guard.take_quarantine_news(), wants_reply: false };
             let links: Vec<Rc<Link>> = self.links.borrow().iter().map(|it| Rc::clone(&it.1)).collect();
             let connected: Vec<&Rc<Link>> = links.iter().filter(|it| it.is_connected()).collect();
             for link in connected.sample(&mut rand::rng(), RELAYS) {
@@ -61,7 +61,7 @@
     /// Takes in what a peer knows against requests, and answers with what is known here if that is wanted.
     pub(super) fn exchange_cases(&self, theirs: &QuarantineExchange) -> Vec<ToldCase> {
         self.guard.take_cases(&theirs.cases, Source::Peer);
-        if theirs.exchange { self.guard.cases() } else { Vec::new() }
+        if theirs.wants_reply { self.guard.cases() } else { Vec::new() }
     }
 
     /// Exchanges cases with a peer whose digest differs.
@@ -69,7 +69,7 @@
         if their_digest == self.guard.cases_digest() {
             return;
         }
-        let ours = QuarantineExchange { cases: self.guard.cases(), exchange: true };
+        let ours = QuarantineExchange { cases: self.guard.cases(), wants_reply: true };
         if let Some(it) = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &ours).await {
             self.guard.take_cases(&it, Source::Peer);
         }
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -59,15 +59,15 @@
 
     /// Takes in what a peer told with a reply.
     pub(super) fn take_news(self: &Rc<Self>, news: GuardReport) {
-        let GuardReport { brief, running, waiting, allowance_used } = news;
-        if let Some(link) = self.link(&brief.name) {
+        let GuardReport { update, running, waiting, retry_budget_exhausted } = news;
+        if let Some(link) = self.link(&update.name) {
             link.told(running + waiting, clock::now());
             let service = self.directory.borrow().by_key(link.key).map(|it| it.endpoints.service.clone());
             if let Some(it) = service {
-                self.note_allowance(&it, allowance_used);
+                self.note_allowance(&it, retry_budget_exhausted);
             }
         }
-        self.take_brief(&brief);
+        self.take_brief(&update);
     }
 
     /// Takes in what of a peer changes often.
@@ -130,7 +130,7 @@
             let fully = link.greeting().await;
             sleep(GATHER).await;
             if fully {
-                let hello = Hello { row: self.row(), current: self.current(), chosen: link.chosen.get() };
+                let hello = Hello { row: self.row(), status: self.current(), selected: link.chosen.get() };
                 if let Some(it) = link.call_within::<_, HelloResponse>(HELLO_TIMEOUT, path::HELLO, &hello).await {
                     self.take_welcome(link, it);
                 }
@@ -142,26 +142,26 @@
     }
 
     fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
-        let HelloResponse { row, current, newer } = welcome;
+        let HelloResponse { row, status, newer_caller_row } = welcome;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
-        self.take_rows([row].into_iter().chain(newer).collect());
-        self.take_current(&name, link, stamp, current);
+        self.take_rows([row].into_iter().chain(newer_caller_row).collect());
+        self.take_current(&name, link, stamp, status);
     }
 
     /// Answers a peer's hello, and links back to one that chose this proxy.
     pub(super) fn welcome(self: &Rc<Self>, hello: Hello) -> HelloResponse {
-        let Hello { row, current, chosen } = hello;
+        let Hello { row, status, selected } = hello;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
-        if chosen {
+        if selected {
             self.link_to(&row).wanted.set(true);
         }
         self.take_rows(vec![row]);
         if let Some(link) = self.link(&name) {
-            link.wanted.set(chosen);
-            self.take_current(&name, &link, stamp, current);
+            link.wanted.set(selected);
+            self.take_current(&name, &link, stamp, status);
         }
         let known = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
-        HelloResponse { row: self.row(), current: self.current(), newer: known }
+        HelloResponse { row: self.row(), status: self.current(), newer_caller_row: known }
     }
 
     /// Tells linked peers when this proxy's row changes, or its endpoint's standing.
@@ -220,7 +220,7 @@
             return;
         };
         self.take_summary(theirs, link);
-        self.even_out_cases(theirs.cases, link).await;
+        self.even_out_cases(theirs.cases_digest, link).await;
         if theirs.digest == self.directory.borrow().digest() {
             return;
         }
@@ -239,8 +239,8 @@
             digest: self.directory.borrow().digest(),
             version: self.version(),
             confirmed_ago: self.confirmed_ago(),
-            cases: self.guard.cases_digest(),
-            era: self.store.era(),
+            cases_digest: self.guard.cases_digest(),
+            store_era: self.store.era(),
         }
     }
 
@@ -254,7 +254,7 @@
 
     /// Takes in how long ago the store confirmed the version in force, if a peer speaks of that one.
     fn take_confirmation(&self, theirs: StateSummary) {
-        if let Some(it) = theirs.era {
+        if let Some(it) = theirs.store_era {
             self.store.note_era(it);
         }
         if theirs.version == self.version()
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -120,7 +120,7 @@
             Known::Running => None,
             Known::Ended(it) => Some(it),
             Known::Unknown if self.fault == Fault::ForgottenIsUnused => Some(RunEnd::NotRun(NotRunReason::NoGrant)),
-            Known::Unknown => Some(RunEnd::Unknown(UnknownReason::GuardGone)),
+            Known::Unknown => Some(RunEnd::Unknown(UnknownReason::GuardStateLost)),
         }
     }
 
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -197,12 +197,12 @@
 #[test]
 fn a_reservation_of_an_earlier_release_is_understood() {
     let useful_for = Duration::from_secs(1);
-    let arrival = AttemptKind::First { repeat_share: 0.0 };
+    let arrival = AttemptKind::First { retry_share: 0.0 };
     let earlier =
         ("vm-1", 7_u64, "desk", "read", true, true, arrival, false, false, 2_u32, useful_for, Standing::default());
 
     let bytes = rmp_serde::to_vec(&earlier).expect("messages can be coded");
     let reserve: ReserveRequest = rmp_serde::from_slice(&bytes).expect("it is understood");
 
-    assert_eq!((&*reserve.route, reserve.case, reserve.released), ("read", Case::default(), false));
+    assert_eq!((&*reserve.route, reserve.case, reserve.is_quarantine_trial), ("read", Case::default(), false));
 }
