--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -18,7 +18,7 @@
 
 /// What a proxy guards.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Served {
+pub struct GuardedService {
     /// The service of its VM.
     pub service: ServiceName,
     /// The endpoint, while it takes work.
@@ -35,33 +35,35 @@
 }
 
 /// What a proxy says of itself that changes seldom. Its incarnation is the millisecond of its start by the VM's clock.
-pub type Row = rows::Row<Served>;
+pub type Row = rows::Row<GuardedService>;
 
 /// What a proxy says of itself that changes often; told only to those it is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Current {
+pub struct ProxyStatus {
     /// The version of the configuration in force there; 0 for none.
     pub version: Version,
     /// Goes up within a run each time the endpoint or its standing changes.
-    pub turns: u64,
+    #[serde(rename = "turns")]
+    pub revision: u64,
     /// How far the endpoint is trusted, if there is one.
     pub standing: Standing,
 }
 
-/// [`Current`] with whose it is.
+/// [`ProxyStatus`] with whose it is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Brief {
+pub struct StatusUpdate {
     /// The proxy's name.
     pub name: ProxyName,
     /// Of its row.
     pub stamp: Stamp,
     /// What it says.
-    pub current: Current,
+    #[serde(rename = "current")]
+    pub status: ProxyStatus,
 }
 
 /// The rows of all proxies, this one's included.
 pub struct Directory {
-    table: Table<Served>,
+    table: Table<GuardedService>,
     /// Of the live rows; `None` while they must be counted anew.
     counts: Option<Counts>,
 }
@@ -101,7 +103,7 @@
     }
 
     /// The row with this short name.
-    pub fn by_key(&self, key: DaemonKey) -> Option<&Arc<Row>> {
+    pub fn get_by_key(&self, key: DaemonKey) -> Option<&Arc<Row>> {
         self.table.by_key(key)
     }
 
@@ -112,23 +114,23 @@
     }
 
     /// The rows of those that are held to be down.
-    pub fn down(&self) -> impl Iterator<Item = &Arc<Row>> {
+    pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row>> {
         self.table.down()
     }
 
     /// How many data centres the live proxies are in, this one included.
-    pub fn data_centres(&mut self) -> usize {
+    pub fn data_centre_count(&mut self) -> usize {
         self.counts().data_centres
     }
 
     /// How many proxies guard endpoints of `service`, as far as this one knows.
-    pub fn guards_of(&mut self, service: &str) -> usize {
+    pub fn guard_count(&mut self, service: &str) -> usize {
         let guards = &self.counts().guards;
         guards.binary_search_by(|it| (*it.0).cmp(service)).map_or(0, |at| guards[at].1)
     }
 
     /// How many services there are.
-    pub fn services(&mut self) -> usize {
+    pub fn service_count(&mut self) -> usize {
         self.counts().guards.len()
     }
 
@@ -160,14 +162,14 @@
     }
 
     /// Takes in where proxies are, as the store lists it; whatever they said themselves is newer.
-    pub fn seed(&mut self, listed: impl Iterator<Item = PresenceObject>, now: Instant) {
+    pub fn seed_from_store(&mut self, listed: impl Iterator<Item = PresenceObject>, now: Instant) {
         let rows = listed.map(|it| Row {
             daemon: it.name,
             stamp: Stamp { incarnation: 0, sequence: 0, down: false },
             data_centre: it.data_centre,
             peers: it.peers,
             leaving: false,
-            endpoints: Served { service: it.service, endpoint: None },
+            endpoints: GuardedService { service: it.service, endpoint: None },
         });
         self.merge_all(rows.collect(), now);
     }
@@ -179,7 +181,7 @@
     }
 
     /// Drops the rows of those that left or are down for long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         if self.table.forget(now) {
             self.counts = None;
         }
@@ -191,7 +193,7 @@
     }
 
     /// The table, for an exchange with another's.
-    pub fn table(&self) -> &Table<Served> {
+    pub fn table(&self) -> &Table<GuardedService> {
         &self.table
     }
 
@@ -201,12 +203,16 @@
     }
 
     /// Answers an exchange.
-    pub fn compared(&self, compare: &Compare, version: Version) -> Compared {
+    pub fn answer_compare(&self, compare: &Compare, version: Version) -> Compared {
         compare.answer(&self.table, version)
     }
 
     /// Ends an exchange that another opened.
-    pub fn deliver(&mut self, deliver: rows::Deliver<Served>, now: Instant) -> (rows::Delivered<Served>, Vec<Row>) {
+    pub fn answer_deliver(
+        &mut self,
+        deliver: rows::Deliver<GuardedService>,
+        now: Instant,
+    ) -> (rows::Delivered<GuardedService>, Vec<Row>) {
         self.counts = None;
         deliver.answer(&mut self.table, now)
     }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -252,7 +252,7 @@
     pub(super) fn surroundings(&self, req: &ReserveRequest) -> Surroundings {
         let tight = |service: &str| self.allowance_used(service);
         Surroundings {
-            guards: self.directory.borrow_mut().guards_of(&req.service),
+            guards: self.directory.borrow_mut().guard_count(&req.service),
             calls_tight: self.guard.calls_any(&req.route, tight),
         }
     }
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -112,7 +112,7 @@
         let directory = self.directory.borrow();
         let links = self.links.borrow();
         let there = links.iter().filter_map(|(name, link)| {
-            let served = &directory.by_key(link.key)?.endpoints;
+            let served = &directory.get_by_key(link.key)?.endpoints;
             let endpoint = served.endpoint.as_ref().filter(|it| !tried.contains(&it.id))?;
             (served.service == job.service).then(|| Self::reachable_there(name, link, endpoint))?
         });
@@ -161,7 +161,7 @@
             return true;
         }
         let directory = self.directory.borrow();
-        let serves = |link: &Link| directory.by_key(link.key).is_some_and(|it| *it.endpoints.service == *service);
+        let serves = |link: &Link| directory.get_by_key(link.key).is_some_and(|it| *it.endpoints.service == *service);
         self.links.borrow().iter().any(|it| it.1.is_opening(now) && serves(&it.1))
     }
 
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -96,7 +96,7 @@
         // An empty one may be older than all the fleet.
         self.joined.set(self.joined.get() || !list.objects.is_empty());
         let listed = list.objects.into_iter().filter(|it| it.name != self.name);
-        self.directory.borrow_mut().seed(listed, clock::now());
+        self.directory.borrow_mut().seed_from_store(listed, clock::now());
         self.members_changed.notify_one();
     }
 }
--- a/src/proxy/links.rs
+++ b/src/proxy/links.rs
@@ -91,7 +91,8 @@
 
     /// A request for `service` is to be placed: links to its guards are opened if there are none yet.
     pub(super) fn need(self: &Rc<Self>, service: &str) {
-        if self.needs.borrow_mut().note(service, clock::now()) && self.directory.borrow_mut().services() > ALL_SERVICES
+        if self.needs.borrow_mut().note(service, clock::now())
+            && self.directory.borrow_mut().service_count() > ALL_SERVICES
         {
             self.choose_links();
         }
@@ -130,7 +131,7 @@
     /// The rows of those to link to, sorted by name.
     fn chosen(&self, now: Instant) -> Vec<Arc<Row>> {
         let mut directory = self.directory.borrow_mut();
-        let all = directory.services() <= ALL_SERVICES;
+        let all = directory.service_count() <= ALL_SERVICES;
         let needs = self.needs.borrow();
         let rows: Vec<_> = directory.members().filter(|it| all || needs.has(&it.1.endpoints.service)).collect();
         let own = directory.own();
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -18,7 +18,7 @@
     },
     platform::Era,
     proxy::{
-        directory::{Brief, Current, Incarnation, ProxyName, Row, Served},
+        directory::{GuardedService, Incarnation, ProxyName, ProxyStatus, Row, StatusUpdate},
         routes::{RouteName, ServiceName, Version},
     },
 };
@@ -117,7 +117,7 @@
 pub(super) struct GuardReport {
     /// What of its row changes often.
     #[serde(rename = "brief")]
-    pub update: Brief,
+    pub update: StatusUpdate,
     /// Requests at the endpoint, or permitted.
     pub running: u32,
     /// Requests that wait.
@@ -311,7 +311,7 @@
     pub row: Row,
     /// What of it changes often.
     #[serde(rename = "current")]
-    pub status: Current,
+    pub status: ProxyStatus,
     /// The sender keeps a connection because it chose the receiver, and wants to be told how its endpoint stands.
     #[serde(rename = "chosen")]
     pub selected: bool,
@@ -324,7 +324,7 @@
     pub row: Row,
     /// What of it changes often.
     #[serde(rename = "current")]
-    pub status: Current,
+    pub status: ProxyStatus,
     /// The caller's row as known here, if that is newer than what the caller says: of an earlier run, before the
     /// caller's clock was set back.
     #[serde(rename = "newer")]
@@ -359,6 +359,6 @@
 }
 
 /// Ends an exchange of rows.
-pub(super) type Deliver = crate::rows::Deliver<Served>;
+pub(super) type Deliver = crate::rows::Deliver<GuardedService>;
 /// Answers [`Deliver`].
-pub(super) type Delivered = crate::rows::Delivered<Served>;
+pub(super) type Delivered = crate::rows::Delivered<GuardedService>;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -51,7 +51,7 @@
     error::Error,
     platform::{ConfigFinding, ParsedConfig, Store},
     proxy::{
-        directory::{Directory, ProxyName, Row, Served},
+        directory::{Directory, GuardedService, ProxyName, Row},
         events::{Event, Events},
         guard::Guard,
         ingress::IngressState,
@@ -99,7 +99,7 @@
     /// The store's list of proxies was taken in.
     joined: Cell<bool>,
     ingress: RefCell<IngressState>,
-    /// See [`directory::Current::turns`].
+    /// See [`directory::ProxyStatus::revision`].
     turns: Cell<u64>,
     /// Requests of callers that have no answer yet.
     requests: Cell<usize>,
@@ -244,7 +244,7 @@
         data_centre: settings.data_centre.clone(),
         peers: settings.advertised,
         leaving: false,
-        endpoints: Served { service: settings.service.clone(), endpoint: None },
+        endpoints: GuardedService { service: settings.service.clone(), endpoint: None },
     }
 }
 
--- a/src/proxy/peer.rs
+++ b/src/proxy/peer.rs
@@ -22,7 +22,7 @@
     decide::{PathHealth, suspicion::Standing},
     proxy::{
         client, clock,
-        directory::{Current, Row},
+        directory::{ProxyStatus, Row},
         net::{self, Local, OwnedTask},
     },
     rows::{DaemonKey, Incarnation, Stamp, daemon_key},
@@ -203,12 +203,12 @@
     }
 
     /// Takes in how the proxy's endpoint stands; whether that is news.
-    pub(super) fn take_standing(&self, stamp: Stamp, current: Current) -> bool {
+    pub(super) fn take_standing(&self, stamp: Stamp, current: ProxyStatus) -> bool {
         let (incarnation, turns, before) = self.standing.get();
-        if (stamp.incarnation, current.turns) <= (incarnation, turns) {
+        if (stamp.incarnation, current.revision) <= (incarnation, turns) {
             return false;
         }
-        self.standing.set((stamp.incarnation, current.turns, current.standing));
+        self.standing.set((stamp.incarnation, current.revision, current.standing));
         before != current.standing
     }
 
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -12,7 +12,7 @@
     platform::ParsedConfig,
     proxy::{
         Proxy, clock,
-        directory::{Brief, Current, Row},
+        directory::{ProxyStatus, Row, StatusUpdate},
         events::Event,
         message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
         peer::Link,
@@ -44,13 +44,13 @@
 
 impl Proxy {
     /// What of this proxy changes often.
-    fn current(&self) -> Current {
-        Current { version: self.version(), turns: self.turns.get(), standing: self.guard.standing() }
+    fn current(&self) -> ProxyStatus {
+        ProxyStatus { version: self.version(), revision: self.turns.get(), standing: self.guard.standing() }
     }
 
     /// [`Self::current`] with whose it is.
-    pub(super) fn brief(&self) -> Brief {
-        Brief { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, current: self.current() }
+    pub(super) fn brief(&self) -> StatusUpdate {
+        StatusUpdate { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, status: self.current() }
     }
 
     fn row(&self) -> Row {
@@ -62,7 +62,7 @@
         let GuardReport { update, running, waiting, retry_budget_exhausted } = news;
         if let Some(link) = self.link(&update.name) {
             link.told(running + waiting, clock::now());
-            let service = self.directory.borrow().by_key(link.key).map(|it| it.endpoints.service.clone());
+            let service = self.directory.borrow().get_by_key(link.key).map(|it| it.endpoints.service.clone());
             if let Some(it) = service {
                 self.note_allowance(&it, retry_budget_exhausted);
             }
@@ -71,16 +71,16 @@
     }
 
     /// Takes in what of a peer changes often.
-    pub(super) fn take_brief(self: &Rc<Self>, brief: &Brief) {
+    pub(super) fn take_brief(self: &Rc<Self>, brief: &StatusUpdate) {
         let Some(link) = self.link(&brief.name) else { return };
-        self.take_current(&brief.name, &link, brief.stamp, brief.current);
-        let known = self.directory.borrow().by_key(link.key).map(|it| it.stamp);
+        self.take_current(&brief.name, &link, brief.stamp, brief.status);
+        let known = self.directory.borrow().get_by_key(link.key).map(|it| it.stamp);
         if known.is_none_or(|it| it < brief.stamp) {
             link.greet_fully();
         }
     }
 
-    fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: Current) {
+    fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: ProxyStatus) {
         if link.take_standing(stamp, current) {
             self.events.emit(&Event::Row {
                 peer: name,
@@ -194,7 +194,7 @@
             let early = clock::now().saturating_duration_since(start) < EARLY;
             let pause = if early { EXCHANGE_EARLY } else { EXCHANGE_EVERY };
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
-            self.directory.borrow_mut().forget(clock::now());
+            self.directory.borrow_mut().remove_expired(clock::now());
             self.guard.forget_cases();
             if rand::rng().random_bool(DOWN_PART) {
                 self.try_down().await;
@@ -206,7 +206,8 @@
 
     /// Tries a proxy that is held to be down.
     async fn try_down(self: &Rc<Self>) {
-        let row = self.directory.borrow().down().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
+        let row =
+            self.directory.borrow().down_rows().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
         let Some(row) = row else { return };
         // One that is down in truth is not news.
         let Ok((link, _connected)) = Link::open(&row).await else { return };
@@ -272,12 +273,12 @@
 
     /// Answers with the stamps of what differs.
     pub(super) fn compare(&self, compare: &Compare) -> Compared {
-        self.directory.borrow().compared(compare, self.version())
+        self.directory.borrow().answer_compare(compare, self.version())
     }
 
     /// Takes rows in, and answers with those that the caller lacks.
     pub(super) fn deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
-        let (delivered, news) = self.directory.borrow_mut().deliver(deliver, clock::now());
+        let (delivered, news) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
         self.took_rows(&news);
         delivered
     }
--- a/src/proxy/watch.rs
+++ b/src/proxy/watch.rs
@@ -62,7 +62,7 @@
             return true;
         }
         let mut directory = self.directory.borrow_mut();
-        let data_centres = directory.data_centres();
+        let data_centres = directory.data_centre_count();
         let data_centre = &directory.own().data_centre;
         let near = directory.members().filter(|it| it.1.data_centre == *data_centre).map(|it| it.0);
         let rank = watchers::rank(directory.own_key(), near);
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -8,7 +8,7 @@
 use jayreach::{
     decide::life::EndpointId,
     platform::PresenceObject,
-    proxy::directory::{Directory, EndpointRow, Row, Served},
+    proxy::directory::{Directory, EndpointRow, GuardedService, Row},
     rows::{Merge, Stamp},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -25,7 +25,7 @@
         data_centre: "dc-1".into(),
         peers: address(),
         leaving: false,
-        endpoints: Served { service: "desk".into(), endpoint: None },
+        endpoints: GuardedService { service: "desk".into(), endpoint: None },
     }
 }
 
@@ -43,9 +43,9 @@
         return;
     }
     let now = Instant::now();
-    let compared = b.compared(&a.compare(1), 1);
+    let compared = b.answer_compare(&a.compare(1), 1);
     if let Some(deliver) = compared.follow_up(a.table()) {
-        let (delivered, _) = b.deliver(deliver, now);
+        let (delivered, _) = b.answer_deliver(deliver, now);
         a.merge_all(delivered.rows, now);
     }
 }
@@ -102,10 +102,10 @@
         service: "desk".into(),
     });
 
-    directory.seed(listed.into_iter(), Instant::now());
+    directory.seed_from_store(listed.into_iter(), Instant::now());
 
     assert_eq!(directory.get("b").map(|it| Row::clone(it)), Some(told));
-    assert_eq!(directory.guards_of("desk"), 3, "all share the allowance of the service");
+    assert_eq!(directory.guard_count("desk"), 3, "all share the allowance of the service");
 }
 
 #[test]
@@ -118,8 +118,8 @@
     directory.mark_down("c", row("c", 5, 2).stamp, Instant::now());
     directory.merge(row("d", 5, 2), Instant::now());
 
-    assert_eq!(directory.guards_of("desk"), 2);
-    assert_eq!(directory.guards_of("ledger"), 0);
+    assert_eq!(directory.guard_count("desk"), 2);
+    assert_eq!(directory.guard_count("ledger"), 0);
     assert_eq!(directory.members().map(|it| &*it.1.daemon).collect::<Vec<_>>(), ["d"]);
 }
 
