--- a/src/proxy/watch.rs
+++ b/src/proxy/config_watch.rs
@@ -11,7 +11,7 @@
 use crate::{
     decide::watchers::{self, Watch},
     platform::{ConfigObject, Consistency, Position, WatchEnd},
-    proxy::{Proxy, backoff::Backoff, clock, events::Event, message::path, peer::Link},
+    proxy::{Proxy, backoff::Backoff, clock, events::Event, message::path, peer_link::Link},
 };
 
 /// How often a proxy that doesn't watch looks whether it should.
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -18,8 +18,8 @@
         events::Event,
         guard::{Announced, EndpointPhase, Heard},
         ingress, net,
-        peer::Link,
-        peers,
+        peer_link::Link,
+        peer_server,
         routes::Limits,
         server::{self, Answer, answer, json},
     },
@@ -53,7 +53,7 @@
         let limits = move || limits.config.borrow().as_ref().map_or_else(Limits::default, |it| it.limits);
         spawn_local(server::http1(callers, limits, move |req| ingress::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
-        spawn_local(server::http2(peers, move |req| peers::handle(Rc::clone(&proxy), req)));
+        spawn_local(server::http2(peers, move |req| peer_server::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         let handle = move |req| announce(Rc::clone(&proxy), req);
         spawn_local(server::http1(announcements, Limits::default, handle));
--- a/src/proxy/spread.rs
+++ b/src/proxy/gossip.rs
@@ -15,7 +15,7 @@
         directory::{ProxyStatus, Row, StatusUpdate},
         events::Event,
         message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
-        peer::Link,
+        peer_link::Link,
     },
     rows::{Compare, Compared, Stamp},
 };
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -14,7 +14,7 @@
         Proxy, clock,
         events::{Event, Failure},
         message::{Grant, NotRunReason, RelayedQuery, RunEnd, RunQuery, RunRequest, RunResponse, UnknownReason, path},
-        peer::{Link, LinkError},
+        peer_link::{Link, LinkError},
     },
 };
 
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -28,7 +28,7 @@
         guard::Surroundings,
         headers,
         message::{AttemptKind, Grant, HttpContent, ReserveRequest},
-        peer::Link,
+        peer_link::Link,
         routes::{Config, Repeat, Route, RouteName, ServiceName},
         server::{Answer, answer},
     },
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -23,7 +23,7 @@
         events::Event,
         guard::Serving,
         message::{Grant, GrantRefusal, ReserveRequest, ReserveResponse, path},
-        peer::{Link, LinkError},
+        peer_link::{Link, LinkError},
     },
 };
 
--- a/src/proxy/links.rs
+++ b/src/proxy/link_set.rs
@@ -20,7 +20,7 @@
         Proxy, clock,
         directory::{ProxyName, Row},
         events::Event,
-        peer::Link,
+        peer_link::Link,
         routes::ServiceName,
     },
 };
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -6,27 +6,27 @@
 mod backoff;
 mod client;
 mod clock;
+mod config_watch;
 mod control;
 pub mod directory;
 mod endpoint;
 pub mod events;
+mod gossip;
 pub mod guard;
 mod head;
 mod headers;
 mod ingress;
 mod join;
-mod links;
+mod link_set;
 pub mod message;
 mod net;
-mod peer;
-mod peers;
+mod peer_link;
+mod peer_server;
 mod quarantine;
 pub mod routes;
 mod server;
 pub mod settings;
-mod spread;
 mod stop;
-mod watch;
 
 pub use client::CallError;
 pub(crate) use client::call;
@@ -55,8 +55,8 @@
         events::{Event, Events},
         guard::Guard,
         ingress::IngressState,
-        links::Needs,
-        peer::Link,
+        link_set::Needs,
+        peer_link::Link,
         routes::{Config, Version},
         settings::Settings,
         stop::Signals,
--- a/src/proxy/peers.rs
+++ b/src/proxy/peer_server.rs
@@ -16,7 +16,7 @@
             GuardReport, RelayedQuery, ReserveRequest, ReserveResponse, RunEnd, RunQuery, RunRequest, RunResponse,
             UnknownReason, path,
         },
-        peer::{Link, LinkError},
+        peer_link::{Link, LinkError},
         routes::Version,
         server::{Answer, answer},
     },
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -20,10 +20,10 @@
     proxy::{
         Proxy,
         backoff::Backoff,
+        gossip::{GATHER, HELLO_TIMEOUT},
         guard::quarantined::Source,
         message::{QuarantineExchange, path},
-        peer::Link,
-        spread::{GATHER, HELLO_TIMEOUT},
+        peer_link::Link,
     },
 };
 
