--- a/src/proxy/backoff.rs
+++ b/src/proxy/backoff.rs
@@ -34,7 +34,7 @@
     }
 
     /// Tells the first failure of a row, and pauses.
-    pub(super) async fn failed(&mut self, error: &StoreFailure) {
+    pub(super) async fn pause_after_failure(&mut self, error: &StoreFailure) {
         self.failures += 1;
         metrics::counter!("jayreach_store_failures_total").increment(1);
         if self.failures == 1 {
@@ -47,7 +47,7 @@
     }
 
     /// Tells that the store answers again, if it did not.
-    pub(super) fn answered(&mut self) {
+    pub(super) fn record_answer(&mut self) {
         if self.failures > 0 {
             let (failures, silent_ms) = (self.failures, self.silent_ms());
             self.proxy.events.emit(&Event::Store { reachable: true, why: "answered", failures, silent_ms });
--- a/src/proxy/client.rs
+++ b/src/proxy/client.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::proxy::net::{self, OwnedTask};
+use crate::proxy::net::{self, AbortOnDropTask};
 
 /// The longest answer that is taken in, in bytes; it is held whole until it is passed on.
 pub(super) const ANSWER_LIMIT: usize = 64 << 20;
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
-    _task: OwnedTask,
+    _task: AbortOnDropTask,
 }
 
 impl Connection {
@@ -49,7 +49,7 @@
     pub(super) async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = net::connect(address, CONNECT_TIMEOUT).await.map_err(CallError::NotConnected)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        let task = OwnedTask::spawn(async move {
+        let task = AbortOnDropTask::spawn(async move {
             if let Err(error) = connection.await {
                 // The caller of the broken request hears of it; an idle connection's end harms no one.
                 log::debug!("a connection to {address} ended: {error}");
--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -49,7 +49,7 @@
 
     /// Reads the configuration once at the start, at a tenth of the price: whoever has a newer one says so. Where a whole fleet
     /// starts at once nobody has one.
-    pub(super) async fn read_first_config(self: Rc<Self>) {
+    pub(super) async fn read_initial_config(self: Rc<Self>) {
         match self.store.config(Consistency::Stale).await {
             Ok(it) => _ = self.take_config(it),
             Err(error) => log::debug!("no first configuration: {error}"),
@@ -83,7 +83,7 @@
     }
 
     /// Takes in how long ago someone had the store's answer.
-    pub(super) fn confirm(&self, ago: Duration) {
+    pub(super) fn record_confirmation(&self, ago: Duration) {
         let at = clock::now().checked_sub(ago);
         self.confirmed.set(self.confirmed.get().max(at));
     }
@@ -97,23 +97,23 @@
                 Ok(it) => it,
                 Err(error) => {
                     self.lost_store();
-                    backoff.failed(&error).await;
+                    backoff.pause_after_failure(&error).await;
                     continue;
                 }
             };
-            backoff.answered();
+            backoff.record_answer();
             self.regained_store();
             let mut position = self.take_config(object);
-            self.confirm(clock::now().saturating_duration_since(asked));
+            self.record_confirmation(clock::now().saturating_duration_since(asked));
             while self.watches(start) {
                 let watch = Watch::by_luck(rand::rng().random());
                 match self.store.watch_config(position, watch).await {
                     Ok(WatchEnd::Went(object)) => {
-                        backoff.answered();
+                        backoff.record_answer();
                         self.regained_store();
                         let changed = object.config.is_some();
                         position = self.take_config(object);
-                        self.confirm(Duration::ZERO);
+                        self.record_confirmation(Duration::ZERO);
                         if changed {
                             sleep(SETTLE).await;
                         }
@@ -121,7 +121,7 @@
                     Ok(WatchEnd::HistoryGone) => break,
                     Err(error) => {
                         self.lost_store();
-                        backoff.failed(&error).await;
+                        backoff.pause_after_failure(&error).await;
                         // It may be restored from a backup, and what was changed meanwhile stand before this position.
                         break;
                     }
@@ -162,7 +162,7 @@
     }
 
     /// Watches in the place of a peer that lost its way to the store; false if this proxy has lost it, too.
-    pub(super) fn substitute(&self) -> bool {
+    pub(super) fn start_substituting(&self) -> bool {
         if self.watching.get() {
             return !self.store_silent.get();
         }
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -68,15 +68,15 @@
 
     /// Starts what runs beside the listeners.
     pub(super) fn start_tasks(self: &Rc<Self>) {
-        spawn_local(Rc::clone(self).read_first_config());
+        spawn_local(Rc::clone(self).read_initial_config());
         spawn_local(Rc::clone(self).follow_config());
         spawn_local(Rc::clone(self).read_first_quarantine());
-        spawn_local(Rc::clone(self).join());
-        spawn_local(Rc::clone(self).keep_objects());
-        spawn_local(Rc::clone(self).tell_changes());
-        spawn_local(Rc::clone(self).keep_links());
-        spawn_local(Rc::clone(self).keep_exchanging());
-        spawn_local(Rc::clone(self).relay_versions());
+        spawn_local(Rc::clone(self).join_fleet());
+        spawn_local(Rc::clone(self).republish_after_restore());
+        spawn_local(Rc::clone(self).announce_changes());
+        spawn_local(Rc::clone(self).maintain_links());
+        spawn_local(Rc::clone(self).run_anti_entropy());
+        spawn_local(Rc::clone(self).announce_versions());
         spawn_local(Rc::clone(self).relay_cases());
         spawn_local(Rc::clone(self).find_endpoint());
         spawn_local(Rc::clone(self).tell_slots());
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -21,9 +21,9 @@
 };
 
 /// Changes of our row are gathered this long.
-pub(super) const GATHER: Duration = Duration::from_millis(20);
+pub(super) const COALESCE_DELAY: Duration = Duration::from_millis(20);
 /// How long a greeting, or a step of an exchange, may take.
-pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a whole configuration may take from a peer: half of the time in which it must be in force,
 /// so that another peer can be asked.
 const CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
     }
 
     /// [`Self::current`] with whose it is.
-    pub(super) fn brief(&self) -> StatusUpdate {
+    pub(super) fn status_update(&self) -> StatusUpdate {
         StatusUpdate { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, status: self.current() }
     }
 
@@ -58,30 +58,30 @@
     }
 
     /// Takes in what a peer told with a reply.
-    pub(super) fn take_news(self: &Rc<Self>, news: GuardReport) {
+    pub(super) fn apply_guard_report(self: &Rc<Self>, news: GuardReport) {
         let GuardReport { update, running, waiting, retry_budget_exhausted } = news;
         if let Some(link) = self.link(&update.name) {
-            link.told(running + waiting, clock::now());
+            link.record_load(running + waiting, clock::now());
             let service = self.directory.borrow().get_by_key(link.key).map(|it| it.endpoints.service.clone());
             if let Some(it) = service {
                 self.note_allowance(&it, retry_budget_exhausted);
             }
         }
-        self.take_brief(&update);
+        self.apply_status_update(&update);
     }
 
     /// Takes in what of a peer changes often.
-    pub(super) fn take_brief(self: &Rc<Self>, brief: &StatusUpdate) {
+    pub(super) fn apply_status_update(self: &Rc<Self>, brief: &StatusUpdate) {
         let Some(link) = self.link(&brief.name) else { return };
         self.take_current(&brief.name, &link, brief.stamp, brief.status);
         let known = self.directory.borrow().get_by_key(link.key).map(|it| it.stamp);
         if known.is_none_or(|it| it < brief.stamp) {
-            link.greet_fully();
+            link.request_hello();
         }
     }
 
     fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: ProxyStatus) {
-        if link.take_standing(stamp, current) {
+        if link.update_standing(stamp, current) {
             self.events.emit(&Event::Row {
                 peer: name,
                 sequence: stamp.sequence,
@@ -96,20 +96,20 @@
     }
 
     /// Takes in rows, and acts on what is new.
-    pub(super) fn take_rows(self: &Rc<Self>, rows: Vec<Row>) {
+    pub(super) fn merge_rows(self: &Rc<Self>, rows: Vec<Row>) {
         let news = self.directory.borrow_mut().merge_all(rows, clock::now());
-        self.took_rows(&news);
+        self.handle_changed_rows(&news);
     }
 
     /// Acts on rows that were news.
-    pub(super) fn took_rows(self: &Rc<Self>, news: &[Row]) {
+    pub(super) fn handle_changed_rows(self: &Rc<Self>, news: &[Row]) {
         if news.is_empty() {
             return;
         }
         metrics::counter!("jayreach_rows_taken_total").increment(news.len() as u64);
         for row in news {
             if row.daemon == self.name {
-                self.greet_all();
+                self.request_hello_to_all();
             } else if let Some(link) = self.link(&row.daemon) {
                 self.events.emit(&Event::Row {
                     peer: &row.daemon,
@@ -124,19 +124,19 @@
     }
 
     /// Says hello at once, and whenever there is something new to say.
-    pub(super) async fn keep_greeting(self: &Rc<Self>, link: &Rc<Link>) {
-        link.greet_fully();
+    pub(super) async fn send_updates(self: &Rc<Self>, link: &Rc<Link>) {
+        link.request_hello();
         loop {
-            let fully = link.greeting().await;
-            sleep(GATHER).await;
+            let fully = link.wait_for_request().await;
+            sleep(COALESCE_DELAY).await;
             if fully {
-                let hello = Hello { row: self.row(), status: self.current(), selected: link.chosen.get() };
-                if let Some(it) = link.call_within::<_, HelloResponse>(HELLO_TIMEOUT, path::HELLO, &hello).await {
+                let hello = Hello { row: self.row(), status: self.current(), selected: link.selected.get() };
+                if let Some(it) = link.call_within::<_, HelloResponse>(PEER_CALL_TIMEOUT, path::HELLO, &hello).await {
                     self.take_welcome(link, it);
                 }
             } else {
                 // What is lost here is told with the next reply, or the next hello.
-                _ = link.call_within::<_, ()>(HELLO_TIMEOUT, path::BRIEF, &self.brief()).await;
+                _ = link.call_within::<_, ()>(PEER_CALL_TIMEOUT, path::BRIEF, &self.status_update()).await;
             }
         }
     }
@@ -144,20 +144,20 @@
     fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
         let HelloResponse { row, status, newer_caller_row } = welcome;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
-        self.take_rows([row].into_iter().chain(newer_caller_row).collect());
+        self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
         self.take_current(&name, link, stamp, status);
     }
 
     /// Answers a peer's hello, and links back to one that chose this proxy.
-    pub(super) fn welcome(self: &Rc<Self>, hello: Hello) -> HelloResponse {
+    pub(super) fn answer_hello(self: &Rc<Self>, hello: Hello) -> HelloResponse {
         let Hello { row, status, selected } = hello;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
         if selected {
-            self.link_to(&row).wanted.set(true);
+            self.ensure_link(&row).selected_by_peer.set(true);
         }
-        self.take_rows(vec![row]);
+        self.merge_rows(vec![row]);
         if let Some(link) = self.link(&name) {
-            link.wanted.set(selected);
+            link.selected_by_peer.set(selected);
             self.take_current(&name, &link, stamp, status);
         }
         let known = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
@@ -165,30 +165,30 @@
     }
 
     /// Tells linked peers when this proxy's row changes, or its endpoint's standing.
-    pub(super) async fn tell_changes(self: Rc<Self>) {
+    pub(super) async fn announce_changes(self: Rc<Self>) {
         loop {
             tokio::select! {
                 () = self.guard.changed.notified() => {
                     self.turns.set(self.turns.get() + 1);
                     let endpoint = self.guard.endpoint_row();
                     self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
-                    self.greet_all();
+                    self.request_hello_to_all();
                 }
                 () = self.guard.turned.notified() => {
                     self.turns.set(self.turns.get() + 1);
-                    self.links.borrow().iter().for_each(|it| it.1.greet_briefly());
+                    self.links.borrow().iter().for_each(|it| it.1.request_status_update());
                 }
             }
         }
     }
 
     /// Has this proxy's row told to all linked peers.
-    pub(super) fn greet_all(&self) {
-        self.links.borrow().iter().for_each(|it| it.1.greet_fully());
+    pub(super) fn request_hello_to_all(&self) {
+        self.links.borrow().iter().for_each(|it| it.1.request_hello());
     }
 
     /// Exchanges rows with another proxy from time to time.
-    pub(super) async fn keep_exchanging(self: Rc<Self>) {
+    pub(super) async fn run_anti_entropy(self: Rc<Self>) {
         let start = clock::now();
         loop {
             let early = clock::now().saturating_duration_since(start) < EARLY;
@@ -198,7 +198,7 @@
             self.guard.forget_cases();
             if rand::rng().random_bool(DOWN_PART) {
                 self.try_down().await;
-            } else if let Some((_, link)) = self.any_link_but("", rand::rng().random_bool(NEAR_PART)) {
+            } else if let Some((_, link)) = self.random_connected_link_except("", rand::rng().random_bool(NEAR_PART)) {
                 self.exchange(&link).await;
             }
         }
@@ -216,7 +216,7 @@
 
     /// Compares directories with a peer, and evens out what differs.
     async fn exchange(self: &Rc<Self>, link: &Rc<Link>) {
-        let Some(theirs) = link.call_within::<_, StateSummary>(HELLO_TIMEOUT, path::SUMMARY, &self.summary()).await
+        let Some(theirs) = link.call_within::<_, StateSummary>(PEER_CALL_TIMEOUT, path::SUMMARY, &self.summary()).await
         else {
             return;
         };
@@ -226,12 +226,12 @@
             return;
         }
         let compare = self.directory.borrow().compare(self.version());
-        let Some(compared) = link.call_within::<_, Compared>(HELLO_TIMEOUT, path::COMPARE, &compare).await else {
+        let Some(compared) = link.call_within::<_, Compared>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await else {
             return;
         };
         let Some(deliver) = compared.follow_up(self.directory.borrow().table()) else { return };
-        if let Some(it) = link.call_within::<_, Delivered>(HELLO_TIMEOUT, path::DELIVER, &deliver).await {
-            self.take_rows(it.rows);
+        if let Some(it) = link.call_within::<_, Delivered>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
+            self.merge_rows(it.rows);
         }
     }
 
@@ -261,35 +261,35 @@
         if theirs.version == self.version()
             && let Some(it) = theirs.confirmed_ago
         {
-            self.confirm(it);
+            self.record_confirmation(it);
         }
     }
 
     /// Answers the opening of an exchange.
-    pub(super) fn summarize(&self, theirs: StateSummary) -> StateSummary {
+    pub(super) fn answer_summary(&self, theirs: StateSummary) -> StateSummary {
         self.take_confirmation(theirs);
         self.summary()
     }
 
     /// Answers with the stamps of what differs.
-    pub(super) fn compare(&self, compare: &Compare) -> Compared {
+    pub(super) fn answer_compare(&self, compare: &Compare) -> Compared {
         self.directory.borrow().answer_compare(compare, self.version())
     }
 
     /// Takes rows in, and answers with those that the caller lacks.
-    pub(super) fn deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
+    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
         let (delivered, news) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
-        self.took_rows(&news);
+        self.handle_changed_rows(&news);
         delivered
     }
 
     /// Tells a few peers of each new version; they tell a few others.
-    pub(super) async fn relay_versions(self: Rc<Self>) {
+    pub(super) async fn announce_versions(self: Rc<Self>) {
         loop {
             self.config_changed.notified().await;
             let links = self.links.borrow();
             let connected: Vec<_> = links.iter().filter(|it| it.1.is_connected()).collect();
-            connected.sample(&mut rand::rng(), RELAYS).for_each(|it| it.1.greet_briefly());
+            connected.sample(&mut rand::rng(), RELAYS).for_each(|it| it.1.request_status_update());
         }
     }
 
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -187,13 +187,13 @@
         };
         match link.call::<_, RunResponse>(path::RUN, &run).await {
             Ok(it) => {
-                self.take_news(it.report);
+                self.apply_guard_report(it.report);
                 self.guard.take_case(job.fingerprint, it.case);
                 it.end
             }
             Err(LinkError::NotConnected) => RunEnd::NotRun(NotRunReason::NoGrant),
             Err(error) => {
-                link.failed(clock::now());
+                link.record_failure(clock::now());
                 log::debug!("request {}: {error}", job.request);
                 if job.idempotent() {
                     RunEnd::Unknown(UnknownReason::GuardStateLost)
@@ -212,7 +212,7 @@
             let (through, found) = if link.is_connected() {
                 (name.into(), link.call_within::<_, RunEnd>(job.left(), path::ASK, &ask).await)
             } else {
-                match self.any_link_but(name, false) {
+                match self.random_connected_link_except(name, false) {
                     Some((helper, it)) => {
                         let relay = RelayedQuery { to: link.address, ask: ask.clone() };
                         (helper, it.call_within::<_, RunEnd>(ASK_TIMEOUT, path::RELAY, &relay).await)
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -75,7 +75,7 @@
         /// Refusals that were stale news are worth another look; more of them are not.
         const LOOKS: u32 = 3;
         let patience = self.patience(job);
-        self.need(&job.service);
+        self.note_service_needed(&job.service);
         for _ in 0..LOOKS {
             let mut choice = self.choice(job, tried);
             let wait_until = patience.min(start + OPENING_WAIT);
@@ -143,13 +143,13 @@
         }
         let now = clock::now();
         let candidate = Candidate {
-            near: link.near,
+            near: link.same_data_centre,
             standing: link.standing(),
-            path_rests: link.rests(now),
-            load: link.load(now),
+            path_rests: link.is_backing_off(now),
+            load: link.estimated_load(now),
             slots: endpoint.slots,
         };
-        let told_ago = link.told_ago(now);
+        let told_ago = link.load_age(now);
         Some(Reachable { guard: Guarded::There(name.clone(), Rc::clone(link)), candidate, told_ago })
     }
 
@@ -266,10 +266,10 @@
             Guarded::Here => return (at, self.guard.reserve(&req, self.surroundings(&req)).await),
             Guarded::There(_, link) => link,
         };
-        link.asking();
+        link.count_reserve_request();
         match link.call::<_, ReserveResponse>(path::RESERVE, &req).await {
             Ok(it) => {
-                self.take_news(it.report);
+                self.apply_guard_report(it.report);
                 if let Some(is_callers) = it.is_caller_route {
                     self.guard.tell_callers_route(&req.route, is_callers);
                 }
@@ -278,7 +278,7 @@
             }
             Err(error) => {
                 if !matches!(error, LinkError::NotConnected) {
-                    link.failed(clock::now());
+                    link.record_failure(clock::now());
                 }
                 log::debug!("request {}: {error}", job.request);
                 (at, Err(GrantRefusal::NotServed))
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -21,29 +21,29 @@
 impl Proxy {
     /// Finds the others, and says where this proxy is unless the store has that from an earlier run. Of two that start
     /// together for the first time, the one that lists later sees the other.
-    pub(super) async fn join(self: Rc<Self>) {
+    pub(super) async fn join_fleet(self: Rc<Self>) {
         let presence = self.presence();
         let mut backoff = Backoff::new(&self);
         let listed = loop {
             match self.store.presences(Consistency::Stale).await {
                 Ok(it) => break it,
-                Err(error) => backoff.failed(&error).await,
+                Err(error) => backoff.pause_after_failure(&error).await,
             }
         };
-        backoff.answered();
+        backoff.record_answer();
         let is_listed = listed.objects.contains(&presence);
         self.take_list(listed);
         if is_listed {
             return;
         }
         while let Err(error) = self.store.put_presence(&presence).await {
-            backoff.failed(&error).await;
+            backoff.pause_after_failure(&error).await;
         }
         self.list_after(&presence).await;
     }
 
     /// Writes what this proxy had written again, each time the store has been restored from a backup.
-    pub(super) async fn keep_objects(self: Rc<Self>) {
+    pub(super) async fn republish_after_restore(self: Rc<Self>) {
         loop {
             self.store.restored().await;
             // A whole fleet hears of it within a few seconds.
@@ -51,9 +51,9 @@
             let presence = self.presence();
             let mut backoff = Backoff::new(&self);
             while let Err(error) = self.store.put_presence(&presence).await {
-                backoff.failed(&error).await;
+                backoff.pause_after_failure(&error).await;
             }
-            backoff.answered();
+            backoff.record_answer();
             self.write_all_down();
         }
     }
@@ -66,7 +66,7 @@
             let consistency = if look < STALE_LOOKS { Consistency::Stale } else { Consistency::Linearizable };
             match self.store.presences(consistency).await {
                 Ok(it) => {
-                    backoff.answered();
+                    backoff.record_answer();
                     // A stale listing that holds it is newer than it.
                     let is_listed = it.objects.contains(presence);
                     self.take_list(it);
@@ -74,7 +74,7 @@
                         return;
                     }
                 }
-                Err(error) => backoff.failed(&error).await,
+                Err(error) => backoff.pause_after_failure(&error).await,
             }
         }
     }
--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -44,9 +44,9 @@
 
 /// The services that requests came here for, and when last; sorted.
 #[derive(Debug, Default)]
-pub(super) struct Needs(Vec<(ServiceName, Instant)>);
+pub(super) struct RecentServices(Vec<(ServiceName, Instant)>);
 
-impl Needs {
+impl RecentServices {
     /// A request for `service` came; whether that is news.
     fn note(&mut self, service: &str, now: Instant) -> bool {
         self.0.retain(|it| now.saturating_duration_since(it.1) < NEEDED_FOR);
@@ -76,11 +76,11 @@
     }
 
     /// A link that is connected, to any proxy but `name`; one in this data centre if `near` and there is one.
-    pub(super) fn any_link_but(&self, name: &str, near: bool) -> Option<(ProxyName, Rc<Link>)> {
+    pub(super) fn random_connected_link_except(&self, name: &str, near: bool) -> Option<(ProxyName, Rc<Link>)> {
         let links = self.links.borrow();
         let mut connected: Vec<_> = links.iter().filter(|it| *it.0 != *name && it.1.is_connected()).collect();
-        if near && connected.iter().any(|it| it.1.near) {
-            connected.retain(|it| it.1.near);
+        if near && connected.iter().any(|it| it.1.same_data_centre) {
+            connected.retain(|it| it.1.same_data_centre);
         }
         if connected.is_empty() {
             return None;
@@ -90,18 +90,18 @@
     }
 
     /// A request for `service` is to be placed: links to its guards are opened if there are none yet.
-    pub(super) fn need(self: &Rc<Self>, service: &str) {
+    pub(super) fn note_service_needed(self: &Rc<Self>, service: &str) {
         if self.needs.borrow_mut().note(service, clock::now())
             && self.directory.borrow_mut().service_count() > ALL_SERVICES
         {
-            self.choose_links();
+            self.update_links();
         }
     }
 
     /// Chooses whom to link to, whenever that may have changed.
-    pub(super) async fn keep_links(self: Rc<Self>) {
+    pub(super) async fn maintain_links(self: Rc<Self>) {
         loop {
-            self.choose_links();
+            self.update_links();
             sleep(CHOOSE_PAUSE).await;
             // A timeout is as good a reason.
             _ = timeout(CHOOSE_EVERY, self.members_changed.notified()).await;
@@ -109,23 +109,23 @@
     }
 
     /// Opens links to those chosen, and closes those that neither side needs.
-    pub(super) fn choose_links(self: &Rc<Self>) {
+    pub(super) fn update_links(self: &Rc<Self>) {
         let now = clock::now();
         let chosen = self.chosen(now);
         for row in &chosen {
-            self.link_to(row).chosen.set(true);
+            self.ensure_link(row).selected.set(true);
         }
         for (name, link) in self.links.borrow().iter() {
             let stays = chosen.binary_search_by(|it| it.daemon.cmp(name)).is_ok();
-            if link.chosen.get() && !stays {
-                link.chosen.set(false);
-                link.greet_fully();
+            if link.selected.get() && !stays {
+                link.selected.set(false);
+                link.request_hello();
             }
-            if link.wanted.get() && link.down_for(now) > LEFT_ALONE_AFTER {
-                link.wanted.set(false);
+            if link.selected_by_peer.get() && link.down_for(now) > LEFT_ALONE_AFTER {
+                link.selected_by_peer.set(false);
             }
         }
-        self.links.borrow_mut().retain(|it| !it.1.is_needless());
+        self.links.borrow_mut().retain(|it| !it.1.is_unused());
     }
 
     /// The rows of those to link to, sorted by name.
@@ -151,7 +151,7 @@
     }
 
     /// The link to a row's owner, opened if there is none; one that moved is linked anew.
-    pub(super) fn link_to(self: &Rc<Self>, row: &Row) -> Rc<Link> {
+    pub(super) fn ensure_link(self: &Rc<Self>, row: &Row) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
         let found = links.binary_search_by(|it| it.0.cmp(&row.daemon));
         if let Ok(at) = found
@@ -181,7 +181,7 @@
                         self.events.emit(&Event::Peer { peer: &name, reachable: true, why: "connected" });
                     }
                     select! {
-                        () = self.keep_greeting(&link) => (),
+                        () = self.send_updates(&link) => (),
                         () = connected.ended() => (),
                         () = self.needless(&name, &link) => (),
                     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -55,7 +55,7 @@
         events::{Event, Events},
         guard::Guard,
         ingress::IngressState,
-        link_set::Needs,
+        link_set::RecentServices,
         peer_link::Link,
         routes::{Config, Version},
         settings::Settings,
@@ -95,7 +95,7 @@
     members_changed: Notify,
     /// Sorted by name.
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
-    needs: RefCell<Needs>,
+    needs: RefCell<RecentServices>,
     /// The store's list of proxies was taken in.
     joined: Cell<bool>,
     ingress: RefCell<IngressState>,
--- a/src/proxy/net.rs
+++ b/src/proxy/net.rs
@@ -33,12 +33,12 @@
 /// Connects to `address` within `limit`.
 pub(super) async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = timeout(limit, TcpStream::connect(address)).await??;
-    tune(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
 /// Sets what every connection needs, accepted or opened.
-pub(super) fn tune(stream: &TcpStream) -> io::Result<()> {
+pub(super) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
@@ -48,9 +48,9 @@
 
 /// Runs the tasks of a connection on this thread.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Local;
+pub(super) struct LocalExecutor;
 
-impl<F> Executor<F> for Local
+impl<F> Executor<F> for LocalExecutor
 where
     F: Future + 'static,
     F::Output: 'static,
@@ -62,16 +62,16 @@
 
 /// A task that ends with its handle.
 #[derive(Debug)]
-pub(super) struct OwnedTask(JoinHandle<()>);
+pub(super) struct AbortOnDropTask(JoinHandle<()>);
 
-impl OwnedTask {
+impl AbortOnDropTask {
     /// Runs `future` on this thread until it ends or the handle is dropped.
     pub(super) fn spawn(future: impl Future<Output = ()> + 'static) -> Self {
         Self(spawn_local(future))
     }
 }
 
-impl Drop for OwnedTask {
+impl Drop for AbortOnDropTask {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -23,7 +23,7 @@
     proxy::{
         client, clock,
         directory::{ProxyStatus, Row},
-        net::{self, Local, OwnedTask},
+        net::{self, AbortOnDropTask, LocalExecutor},
     },
     rows::{DaemonKey, Incarnation, Stamp, daemon_key},
 };
@@ -65,11 +65,11 @@
     /// The hash of its name.
     pub(super) key: DaemonKey,
     /// Whether it is in this proxy's data centre.
-    pub(super) near: bool,
+    pub(super) same_data_centre: bool,
     /// This proxy chose it.
-    pub(super) chosen: Cell<bool>,
+    pub(super) selected: Cell<bool>,
     /// It chose this proxy.
-    pub(super) wanted: Cell<bool>,
+    pub(super) selected_by_peer: Cell<bool>,
     /// Calls that have no answer yet.
     calls: Cell<u32>,
     /// Since when there is no connection; `None` while there is one.
@@ -89,20 +89,20 @@
 }
 
 /// An open connection; ends with this.
-pub(super) struct Connected {
+pub(super) struct LinkConnection {
     link: Rc<Link>,
     ended: Rc<Notify>,
-    _task: OwnedTask,
+    _task: AbortOnDropTask,
 }
 
-impl Connected {
+impl LinkConnection {
     /// Waits until the connection is gone.
     pub(super) async fn ended(&self) {
         self.ended.notified().await;
     }
 }
 
-impl Drop for Connected {
+impl Drop for LinkConnection {
     fn drop(&mut self) {
         self.link.closed();
     }
@@ -119,13 +119,13 @@
 
 impl Link {
     /// A link that is not connected yet.
-    pub(super) fn new(row: &Row, near: bool) -> Self {
+    pub(super) fn new(row: &Row, same_data_centre: bool) -> Self {
         Self {
             address: row.peers,
             key: daemon_key(&row.daemon),
-            near,
-            chosen: Cell::new(false),
-            wanted: Cell::new(false),
+            same_data_centre,
+            selected: Cell::new(false),
+            selected_by_peer: Cell::new(false),
             calls: Cell::new(0),
             down_since: Cell::new(Some(clock::now())),
             standing: Cell::default(),
@@ -139,16 +139,16 @@
     }
 
     /// A connection of its own to a row's owner, for a few calls.
-    pub(super) async fn open(row: &Row) -> Result<(Rc<Self>, Connected), LinkError> {
+    pub(super) async fn open(row: &Row) -> Result<(Rc<Self>, LinkConnection), LinkError> {
         let link = Rc::new(Self::new(row, false));
         let connected = link.connect().await?;
         Ok((link, connected))
     }
 
     /// Connects.
-    pub(super) async fn connect(self: &Rc<Self>) -> Result<Connected, LinkError> {
+    pub(super) async fn connect(self: &Rc<Self>) -> Result<LinkConnection, LinkError> {
         let stream = net::connect(self.address, CONNECT_TIMEOUT).await.map_err(|_| LinkError::NotConnected)?;
-        let (sender, connection) = Builder::new(Local)
+        let (sender, connection) = Builder::new(LocalExecutor)
             .timer(TokioTimer::new())
             .keep_alive_interval(PROBE_EVERY)
             .keep_alive_timeout(PROBE_TIMEOUT)
@@ -158,7 +158,7 @@
         let task = {
             let ended = Rc::clone(&ended);
             let link = Rc::clone(self);
-            OwnedTask::spawn(async move {
+            AbortOnDropTask::spawn(async move {
                 if let Err(error) = connection.await {
                     log::debug!("the connection to {} ended: {error}", link.address);
                 }
@@ -168,7 +168,7 @@
         };
         *self.sender.borrow_mut() = Some(sender);
         self.down_since.set(None);
-        Ok(Connected { link: Rc::clone(self), ended, _task: task })
+        Ok(LinkConnection { link: Rc::clone(self), ended, _task: task })
     }
 
     fn closed(&self) {
@@ -193,8 +193,8 @@
     }
 
     /// Whether neither side chose the other and nothing is under way.
-    pub(super) fn is_needless(&self) -> bool {
-        !self.chosen.get() && !self.wanted.get() && self.calls.get() == 0
+    pub(super) fn is_unused(&self) -> bool {
+        !self.selected.get() && !self.selected_by_peer.get() && self.calls.get() == 0
     }
 
     /// How far the proxy's endpoint is trusted, as last told.
@@ -203,7 +203,7 @@
     }
 
     /// Takes in how the proxy's endpoint stands; whether that is news.
-    pub(super) fn take_standing(&self, stamp: Stamp, current: ProxyStatus) -> bool {
+    pub(super) fn update_standing(&self, stamp: Stamp, current: ProxyStatus) -> bool {
         let (incarnation, turns, before) = self.standing.get();
         if (stamp.incarnation, current.revision) <= (incarnation, turns) {
             return false;
@@ -213,18 +213,18 @@
     }
 
     /// Has our whole row told, and the other's asked for.
-    pub(super) fn greet_fully(&self) {
+    pub(super) fn request_hello(&self) {
         self.fully.set(true);
         self.greet.notify_one();
     }
 
     /// Has the part of our row told that changes often.
-    pub(super) fn greet_briefly(&self) {
+    pub(super) fn request_status_update(&self) {
         self.greet.notify_one();
     }
 
     /// Waits until there is something to tell; true if that is our whole row.
-    pub(super) async fn greeting(&self) -> bool {
+    pub(super) async fn wait_for_request(&self) -> bool {
         self.greet.notified().await;
         self.fully.replace(false)
     }
@@ -284,33 +284,33 @@
     }
 
     /// The peer gave no answer, or can't be reached.
-    pub(super) fn failed(&self, now: Instant) {
+    pub(super) fn record_failure(&self, now: Instant) {
         self.health.borrow_mut().failed(now);
     }
 
     /// Whether the peer, though connected, should be asked last: its last calls failed.
-    pub(super) fn rests(&self, now: Instant) -> bool {
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
         self.health.borrow().rests(now)
     }
 
     /// Takes in the load that the peer told.
-    pub(super) fn told(&self, load: u32, now: Instant) {
+    pub(super) fn record_load(&self, load: u32, now: Instant) {
         self.told.set((load, now));
         self.asked.set(0);
     }
 
     /// How long ago the peer told its load.
-    pub(super) fn told_ago(&self, now: Instant) -> Duration {
+    pub(super) fn load_age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.told.get().1)
     }
 
     /// Counts a place that is asked for.
-    pub(super) fn asking(&self) {
+    pub(super) fn count_reserve_request(&self) {
         self.asked.set(self.asked.get() + 1);
     }
 
     /// The load as last told, with what was asked for since; it fades, since work ends.
-    pub(super) fn load(&self, now: Instant) -> u32 {
+    pub(super) fn estimated_load(&self, now: Instant) -> u32 {
         /// What was told loses half its meaning in about the length of a piece of work.
         const FADES: Duration = Duration::from_millis(1_500);
         let (load, at) = self.told.get();
--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -40,14 +40,14 @@
         path::RUN => reply(&body, |it| proxy.run_here(it)).await,
         path::ASK => reply(&body, async |it: RunQuery| proxy.guard.ask(&it.grant).await).await,
         path::RELAY => reply(&body, |it| proxy.relay(it)).await,
-        path::HELLO => reply(&body, async |it| proxy.welcome(it)).await,
-        path::BRIEF => reply(&body, async |it| proxy.take_brief(&it)).await,
+        path::HELLO => reply(&body, async |it| proxy.answer_hello(it)).await,
+        path::BRIEF => reply(&body, async |it| proxy.apply_status_update(&it)).await,
         path::CONFIG => reply(&body, async |it| proxy.newer_config(it)).await,
-        path::SUMMARY => reply(&body, async |it| proxy.summarize(it)).await,
-        path::COMPARE => reply(&body, async |it| proxy.compare(&it)).await,
-        path::WATCH => reply(&body, async |()| proxy.substitute()).await,
+        path::SUMMARY => reply(&body, async |it| proxy.answer_summary(it)).await,
+        path::COMPARE => reply(&body, async |it| proxy.answer_compare(&it)).await,
+        path::WATCH => reply(&body, async |()| proxy.start_substituting()).await,
         path::CASES => reply(&body, async |it| proxy.exchange_cases(&it)).await,
-        path::DELIVER => reply(&body, async |it| proxy.deliver(it)).await,
+        path::DELIVER => reply(&body, async |it| proxy.answer_deliver(it)).await,
         _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
     }
 }
@@ -72,7 +72,12 @@
 impl Proxy {
     fn guard_report(&self) -> GuardReport {
         let (running, waiting) = self.guard.load();
-        GuardReport { update: self.brief(), running, waiting, retry_budget_exhausted: self.guard.allowance_used() }
+        GuardReport {
+            update: self.status_update(),
+            running,
+            waiting,
+            retry_budget_exhausted: self.guard.allowance_used(),
+        }
     }
 
     async fn reserve(self: &Rc<Self>, req: ReserveRequest) -> ReserveResponse {
@@ -80,7 +85,7 @@
             && let Some(it) = self.link(&req.ingress)
         {
             // Its answer tells the version, and the configuration is fetched.
-            it.greet_fully();
+            it.request_hello();
         }
         let result = self.guard.reserve(&req, self.surroundings(&req)).await;
         let case = self.guard.case(req.fingerprint);
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -20,7 +20,7 @@
     proxy::{
         Proxy,
         backoff::Backoff,
-        gossip::{GATHER, HELLO_TIMEOUT},
+        gossip::{COALESCE_DELAY, PEER_CALL_TIMEOUT},
         guard::quarantined::Source,
         message::{QuarantineExchange, path},
         peer_link::Link,
@@ -41,7 +41,7 @@
     pub(super) async fn relay_cases(self: Rc<Self>) {
         loop {
             self.guard.cases_changed.notified().await;
-            sleep(GATHER).await;
+            sleep(COALESCE_DELAY).await;
             for fingerprint in self.guard.take_found() {
                 spawn_local(Rc::clone(&self).write_down(fingerprint));
             }
@@ -52,7 +52,7 @@
                 let (link, news) = (Rc::clone(link), news.clone());
                 spawn_local(async move {
                     // What is lost here comes with an exchange.
-                    _ = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &news).await;
+                    _ = link.call_within::<_, Vec<ToldCase>>(PEER_CALL_TIMEOUT, path::CASES, &news).await;
                 });
             }
         }
@@ -70,7 +70,7 @@
             return;
         }
         let ours = QuarantineExchange { cases: self.guard.cases(), wants_reply: true };
-        if let Some(it) = link.call_within::<_, Vec<ToldCase>>(HELLO_TIMEOUT, path::CASES, &ours).await {
+        if let Some(it) = link.call_within::<_, Vec<ToldCase>>(PEER_CALL_TIMEOUT, path::CASES, &ours).await {
             self.guard.take_cases(&it, Source::Peer);
         }
     }
@@ -81,9 +81,9 @@
         for pause in [Duration::ZERO, CAUGHT_UP] {
             sleep(pause).await;
             while let Err(error) = self.read_quarantine().await {
-                backoff.failed(&error).await;
+                backoff.pause_after_failure(&error).await;
             }
-            backoff.answered();
+            backoff.record_answer();
         }
     }
 
@@ -124,10 +124,10 @@
             };
             match done {
                 Ok(()) => break,
-                Err(error) => backoff.failed(&error).await,
+                Err(error) => backoff.pause_after_failure(&error).await,
             }
         }
-        backoff.answered();
+        backoff.record_answer();
     }
 
     /// Begins the trial of a request that is held back, if one is due and no other proxy begins it.
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -17,7 +17,7 @@
     time::sleep,
 };
 
-use crate::proxy::{head::TimedHeads, net, net::Local, routes::Limits};
+use crate::proxy::{head::TimedHeads, net, net::LocalExecutor, routes::Limits};
 
 /// An answer with its whole body.
 pub(super) type Answer = Response<Full<Bytes>>;
@@ -38,7 +38,7 @@
 async fn accept(listener: TcpListener, serve: impl Fn(TcpStream, SocketAddr)) {
     loop {
         match listener.accept().await {
-            Ok((stream, from)) => match net::tune(&stream) {
+            Ok((stream, from)) => match net::set_socket_options(&stream) {
                 Ok(()) => serve(stream, from),
                 Err(error) => log::debug!("a connection from {from} was gone at once: {error}"),
             },
@@ -99,7 +99,7 @@
             let answer = handle(req);
             async move { Ok::<_, Infallible>(answer.await) }
         });
-        let connection = http2::Builder::new(Local)
+        let connection = http2::Builder::new(LocalExecutor)
             .timer(TokioTimer::new())
             .keep_alive_interval(PEER_PROBE)
             .keep_alive_timeout(PEER_PROBE_TIMEOUT)
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -92,7 +92,7 @@
             return;
         }
         self.directory.borrow_mut().edit_own(clock::now(), |it| it.leaving = true);
-        self.greet_all();
+        self.request_hello_to_all();
         if let Err(error) = self.store.remove_presence(&self.name).await {
             log::debug!("this proxy's object stays in the store: {error}");
         }
