--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -18,8 +18,8 @@
         events::Event,
         guard::{Announcement, AnnouncementEffect, EndpointPhase},
         ingress, net,
-        peer::Link,
-        peers,
+        peer_link::Link,
+        peer_server,
         routes::Limits,
         server::{self, Answer, answer, json},
     },
@@ -53,7 +53,7 @@
         let limits = move || limits.config.borrow().as_ref().map_or_else(Limits::default, |it| it.limits);
         spawn_local(server::http1(callers, limits, move |req| ingress::handle_request(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
-        spawn_local(server::http2(peers, move |req| peers::handle(Rc::clone(&proxy), req)));
+        spawn_local(server::http2(peers, move |req| peer_server::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         let handle = move |req| announce(Rc::clone(&proxy), req);
         spawn_local(server::http1(announcements, Limits::default, handle));
@@ -68,15 +68,15 @@
 
     /// Starts what runs beside the listeners.
     pub(super) fn start_tasks(self: &Rc<Self>) {
-        spawn_local(Rc::clone(self).read_first_config());
+        spawn_local(Rc::clone(self).read_initial_config());
         spawn_local(Rc::clone(self).follow_config());
         spawn_local(Rc::clone(self).read_first_quarantine());
-        spawn_local(Rc::clone(self).join());
-        spawn_local(Rc::clone(self).keep_objects());
-        spawn_local(Rc::clone(self).tell_changes());
-        spawn_local(Rc::clone(self).keep_links());
-        spawn_local(Rc::clone(self).keep_exchanging());
-        spawn_local(Rc::clone(self).relay_versions());
+        spawn_local(Rc::clone(self).join_fleet());
+        spawn_local(Rc::clone(self).republish_after_restore());
+        spawn_local(Rc::clone(self).announce_changes());
+        spawn_local(Rc::clone(self).maintain_links());
+        spawn_local(Rc::clone(self).run_anti_entropy());
+        spawn_local(Rc::clone(self).announce_versions());
         spawn_local(Rc::clone(self).relay_cases());
         spawn_local(Rc::clone(self).find_endpoint());
         spawn_local(Rc::clone(self).tell_slots());
--- a/src/proxy/spread.rs
+++ b/src/proxy/gossip.rs
@@ -12,18 +12,18 @@
     platform::ParsedConfig,
     proxy::{
         Proxy, clock,
-        directory::{Brief, Current, Row},
+        directory::{ProxyStatus, Row, StatusUpdate},
         events::Event,
-        message::{Deliver, Delivered, Hello, News, Summary, Welcome, path},
-        peer::Link,
+        message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
+        peer_link::Link,
     },
     rows::{Compare, Compared, Stamp},
 };
 
 /// Changes of our row are gathered this long.
-pub(super) const GATHER: Duration = Duration::from_millis(20);
+pub(super) const COALESCE_DELAY: Duration = Duration::from_millis(20);
 /// How long a greeting, or a step of an exchange, may take.
-pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a whole configuration may take from a peer: half of the time in which it must be in force,
 /// so that another peer can be asked.
 const CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
@@ -44,13 +44,13 @@
 
 impl Proxy {
     /// What of this proxy changes often.
-    fn current(&self) -> Current {
-        Current { version: self.version(), turns: self.turns.get(), standing: self.guard.standing() }
+    fn current(&self) -> ProxyStatus {
+        ProxyStatus { version: self.version(), revision: self.turns.get(), standing: self.guard.standing() }
     }
 
     /// [`Self::current`] with whose it is.
-    pub(super) fn brief(&self) -> Brief {
-        Brief { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, current: self.current() }
+    pub(super) fn status_update(&self) -> StatusUpdate {
+        StatusUpdate { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, status: self.current() }
     }
 
     fn row(&self) -> Row {
@@ -58,30 +58,30 @@
     }
 
     /// Takes in what a peer told with a reply.
-    pub(super) fn take_news(self: &Rc<Self>, news: News) {
-        let News { brief, running, waiting, allowance_used } = news;
-        if let Some(link) = self.link(&brief.name) {
-            link.told(running + waiting, clock::now());
-            let service = self.directory.borrow().by_key(link.key).map(|it| it.endpoints.service.clone());
+    pub(super) fn apply_guard_report(self: &Rc<Self>, news: GuardReport) {
+        let GuardReport { update, running, waiting, retry_budget_exhausted } = news;
+        if let Some(link) = self.link(&update.name) {
+            link.record_load(running + waiting, clock::now());
+            let service = self.directory.borrow().get_by_key(link.key).map(|it| it.endpoints.service.clone());
             if let Some(it) = service {
-                self.note_retry_budget(&it, allowance_used);
+                self.note_retry_budget(&it, retry_budget_exhausted);
             }
         }
-        self.take_brief(&brief);
+        self.apply_status_update(&update);
     }
 
     /// Takes in what of a peer changes often.
-    pub(super) fn take_brief(self: &Rc<Self>, brief: &Brief) {
+    pub(super) fn apply_status_update(self: &Rc<Self>, brief: &StatusUpdate) {
         let Some(link) = self.link(&brief.name) else { return };
-        self.take_current(&brief.name, &link, brief.stamp, brief.current);
-        let known = self.directory.borrow().by_key(link.key).map(|it| it.stamp);
+        self.take_current(&brief.name, &link, brief.stamp, brief.status);
+        let known = self.directory.borrow().get_by_key(link.key).map(|it| it.stamp);
         if known.is_none_or(|it| it < brief.stamp) {
-            link.greet_fully();
+            link.request_hello();
         }
     }
 
-    fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: Current) {
-        if link.take_standing(stamp, current) {
+    fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: ProxyStatus) {
+        if link.update_standing(stamp, current) {
             self.events.emit(&Event::Row {
                 peer: name,
                 sequence: stamp.sequence,
@@ -96,20 +96,20 @@
     }
 
     /// Takes in rows, and acts on what is new.
-    pub(super) fn take_rows(self: &Rc<Self>, rows: Vec<Row>) {
+    pub(super) fn merge_rows(self: &Rc<Self>, rows: Vec<Row>) {
         let news = self.directory.borrow_mut().merge_all(rows, clock::now());
-        self.took_rows(&news);
+        self.handle_changed_rows(&news);
     }
 
     /// Acts on rows that were news.
-    pub(super) fn took_rows(self: &Rc<Self>, news: &[Row]) {
+    pub(super) fn handle_changed_rows(self: &Rc<Self>, news: &[Row]) {
         if news.is_empty() {
             return;
         }
         metrics::counter!("jayreach_rows_taken_total").increment(news.len() as u64);
         for row in news {
             if row.daemon == self.name {
-                self.greet_all();
+                self.request_hello_to_all();
             } else if let Some(link) = self.link(&row.daemon) {
                 self.events.emit(&Event::Row {
                     peer: &row.daemon,
@@ -124,81 +124,81 @@
     }
 
     /// Says hello at once, and whenever there is something new to say.
-    pub(super) async fn keep_greeting(self: &Rc<Self>, link: &Rc<Link>) {
-        link.greet_fully();
+    pub(super) async fn send_updates(self: &Rc<Self>, link: &Rc<Link>) {
+        link.request_hello();
         loop {
-            let fully = link.greeting().await;
-            sleep(GATHER).await;
+            let fully = link.wait_for_request().await;
+            sleep(COALESCE_DELAY).await;
             if fully {
-                let hello = Hello { row: self.row(), current: self.current(), chosen: link.chosen.get() };
-                if let Some(it) = link.call_within::<_, Welcome>(HELLO_TIMEOUT, path::HELLO, &hello).await {
+                let hello = Hello { row: self.row(), status: self.current(), selected: link.selected.get() };
+                if let Some(it) = link.call_within::<_, HelloResponse>(PEER_CALL_TIMEOUT, path::HELLO, &hello).await {
                     self.take_welcome(link, it);
                 }
             } else {
                 // What is lost here is told with the next reply, or the next hello.
-                _ = link.call_within::<_, ()>(HELLO_TIMEOUT, path::BRIEF, &self.brief()).await;
+                _ = link.call_within::<_, ()>(PEER_CALL_TIMEOUT, path::BRIEF, &self.status_update()).await;
             }
         }
     }
 
-    fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: Welcome) {
-        let Welcome { row, current, newer } = welcome;
+    fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
+        let HelloResponse { row, status, newer_caller_row } = welcome;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
-        self.take_rows([row].into_iter().chain(newer).collect());
-        self.take_current(&name, link, stamp, current);
+        self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
+        self.take_current(&name, link, stamp, status);
     }
 
     /// Answers a peer's hello, and links back to one that chose this proxy.
-    pub(super) fn welcome(self: &Rc<Self>, hello: Hello) -> Welcome {
-        let Hello { row, current, chosen } = hello;
+    pub(super) fn answer_hello(self: &Rc<Self>, hello: Hello) -> HelloResponse {
+        let Hello { row, status, selected } = hello;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
-        if chosen {
-            self.link_to(&row).wanted.set(true);
+        if selected {
+            self.ensure_link(&row).selected_by_peer.set(true);
         }
-        self.take_rows(vec![row]);
+        self.merge_rows(vec![row]);
         if let Some(link) = self.link(&name) {
-            link.wanted.set(chosen);
-            self.take_current(&name, &link, stamp, current);
+            link.selected_by_peer.set(selected);
+            self.take_current(&name, &link, stamp, status);
         }
         let known = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
-        Welcome { row: self.row(), current: self.current(), newer: known }
+        HelloResponse { row: self.row(), status: self.current(), newer_caller_row: known }
     }
 
     /// Tells linked peers when this proxy's row changes, or its endpoint's standing.
-    pub(super) async fn tell_changes(self: Rc<Self>) {
+    pub(super) async fn announce_changes(self: Rc<Self>) {
         loop {
             tokio::select! {
                 () = self.guard.row_changed.notified() => {
                     self.turns.set(self.turns.get() + 1);
                     let endpoint = self.guard.endpoint_row();
                     self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
-                    self.greet_all();
+                    self.request_hello_to_all();
                 }
                 () = self.guard.standing_changed.notified() => {
                     self.turns.set(self.turns.get() + 1);
-                    self.links.borrow().iter().for_each(|it| it.1.greet_briefly());
+                    self.links.borrow().iter().for_each(|it| it.1.request_status_update());
                 }
             }
         }
     }
 
     /// Has this proxy's row told to all linked peers.
-    pub(super) fn greet_all(&self) {
-        self.links.borrow().iter().for_each(|it| it.1.greet_fully());
+    pub(super) fn request_hello_to_all(&self) {
+        self.links.borrow().iter().for_each(|it| it.1.request_hello());
     }
 
     /// Exchanges rows with another proxy from time to time.
-    pub(super) async fn keep_exchanging(self: Rc<Self>) {
+    pub(super) async fn run_anti_entropy(self: Rc<Self>) {
         let start = clock::now();
         loop {
             let early = clock::now().saturating_duration_since(start) < EARLY;
             let pause = if early { EXCHANGE_EARLY } else { EXCHANGE_EVERY };
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
-            self.directory.borrow_mut().forget(clock::now());
+            self.directory.borrow_mut().remove_expired(clock::now());
             self.guard.remove_expired_cases();
             if rand::rng().random_bool(DOWN_PART) {
                 self.try_down().await;
-            } else if let Some((_, link)) = self.any_link_but("", rand::rng().random_bool(NEAR_PART)) {
+            } else if let Some((_, link)) = self.random_connected_link_except("", rand::rng().random_bool(NEAR_PART)) {
                 self.exchange(&link).await;
             }
         }
@@ -206,7 +206,8 @@
 
     /// Tries a proxy that is held to be down.
     async fn try_down(self: &Rc<Self>) {
-        let row = self.directory.borrow().down().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
+        let row =
+            self.directory.borrow().down_rows().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
         let Some(row) = row else { return };
         // One that is down in truth is not news.
         let Ok((link, _connected)) = Link::open(&row).await else { return };
@@ -215,36 +216,37 @@
 
     /// Compares directories with a peer, and evens out what differs.
     async fn exchange(self: &Rc<Self>, link: &Rc<Link>) {
-        let Some(theirs) = link.call_within::<_, Summary>(HELLO_TIMEOUT, path::SUMMARY, &self.summary()).await else {
+        let Some(theirs) = link.call_within::<_, StateSummary>(PEER_CALL_TIMEOUT, path::SUMMARY, &self.summary()).await
+        else {
             return;
         };
         self.take_summary(theirs, link);
-        self.even_out_cases(theirs.cases, link).await;
+        self.even_out_cases(theirs.cases_digest, link).await;
         if theirs.digest == self.directory.borrow().digest() {
             return;
         }
         let compare = self.directory.borrow().compare(self.version());
-        let Some(compared) = link.call_within::<_, Compared>(HELLO_TIMEOUT, path::COMPARE, &compare).await else {
+        let Some(compared) = link.call_within::<_, Compared>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await else {
             return;
         };
         let Some(deliver) = compared.follow_up(self.directory.borrow().table()) else { return };
-        if let Some(it) = link.call_within::<_, Delivered>(HELLO_TIMEOUT, path::DELIVER, &deliver).await {
-            self.take_rows(it.rows);
+        if let Some(it) = link.call_within::<_, Delivered>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
+            self.merge_rows(it.rows);
         }
     }
 
-    fn summary(&self) -> Summary {
-        Summary {
+    fn summary(&self) -> StateSummary {
+        StateSummary {
             digest: self.directory.borrow().digest(),
             version: self.version(),
             confirmed_ago: self.confirmed_ago(),
-            cases: self.guard.cases_digest(),
-            era: self.store.era(),
+            cases_digest: self.guard.cases_digest(),
+            store_era: self.store.era(),
         }
     }
 
     /// Takes in what a peer says of the configuration.
-    fn take_summary(self: &Rc<Self>, theirs: Summary, link: &Rc<Link>) {
+    fn take_summary(self: &Rc<Self>, theirs: StateSummary, link: &Rc<Link>) {
         if theirs.version > self.version() {
             self.fetch_config(link);
         }
@@ -252,42 +254,42 @@
     }
 
     /// Takes in how long ago the store confirmed the version in force, if a peer speaks of that one.
-    fn take_confirmation(&self, theirs: Summary) {
-        if let Some(it) = theirs.era {
+    fn take_confirmation(&self, theirs: StateSummary) {
+        if let Some(it) = theirs.store_era {
             self.store.note_era(it);
         }
         if theirs.version == self.version()
             && let Some(it) = theirs.confirmed_ago
         {
-            self.confirm(it);
+            self.record_confirmation(it);
         }
     }
 
     /// Answers the opening of an exchange.
-    pub(super) fn summarize(&self, theirs: Summary) -> Summary {
+    pub(super) fn answer_summary(&self, theirs: StateSummary) -> StateSummary {
         self.take_confirmation(theirs);
         self.summary()
     }
 
     /// Answers with the stamps of what differs.
-    pub(super) fn compare(&self, compare: &Compare) -> Compared {
-        self.directory.borrow().compared(compare, self.version())
+    pub(super) fn answer_compare(&self, compare: &Compare) -> Compared {
+        self.directory.borrow().answer_compare(compare, self.version())
     }
 
     /// Takes rows in, and answers with those that the caller lacks.
-    pub(super) fn deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
-        let (delivered, news) = self.directory.borrow_mut().deliver(deliver, clock::now());
-        self.took_rows(&news);
+    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
+        let (delivered, news) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
+        self.handle_changed_rows(&news);
         delivered
     }
 
     /// Tells a few peers of each new version; they tell a few others.
-    pub(super) async fn relay_versions(self: Rc<Self>) {
+    pub(super) async fn announce_versions(self: Rc<Self>) {
         loop {
             self.config_changed.notified().await;
             let links = self.links.borrow();
             let connected: Vec<_> = links.iter().filter(|it| it.1.is_connected()).collect();
-            connected.sample(&mut rand::rng(), RELAYS).for_each(|it| it.1.greet_briefly());
+            connected.sample(&mut rand::rng(), RELAYS).for_each(|it| it.1.request_status_update());
         }
     }
 
--- a/src/proxy/guard/announcements.rs
+++ b/src/proxy/guard/announcements.rs
@@ -12,7 +12,7 @@
         clock,
         endpoint::EndpointPool,
         events::Event,
-        message::{NotRun, RunEnd},
+        message::{NotRunReason, RunEnd},
     },
 };
 
@@ -154,7 +154,7 @@
         let offered = state.ledger.unused_grants();
         drop(state);
         for grant in offered {
-            self.end_grant(grant, RunEnd::NotRun(NotRun::NoGrant));
+            self.end_grant(grant, RunEnd::NotRun(NotRunReason::NoGrant));
         }
         self.row_changed.notify_one();
         self.issue_grants();
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -9,7 +9,7 @@
     decide::{fingerprint::Fingerprint, incarnation::EndpointId, quarantine::CrashRecord},
     proxy::{
         directory::Incarnation,
-        message::{Grant, GrantId, NotRun, RunEnd},
+        message::{Grant, GrantId, NotRunReason, RunEnd},
         routes::RouteName,
     },
 };
@@ -206,7 +206,7 @@
     pub fn end(&mut self, id: GrantId, end: RunEnd, now: Instant) -> Option<GrantEntry> {
         let at = self.entries.iter().position(|it| it.id == id)?;
         let entry = self.entries.swap_remove(at);
-        if !entry.work.idempotent || end == RunEnd::NotRun(NotRun::NoGrant) {
+        if !entry.work.idempotent || end == RunEnd::NotRun(NotRunReason::NoGrant) {
             self.ended.push(Ended { id, end, at: now });
         }
         self.ended.retain(|it| now.saturating_duration_since(it.at) < ENDED_KEPT);
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -17,7 +17,7 @@
     },
     proxy::{
         clock,
-        message::{Arrival, Grant, GrantId, NotRun, Refusal, Reserve, RunEnd},
+        message::{AttemptKind, Grant, GrantId, GrantRefusal, NotRunReason, ReserveRequest, RunEnd},
     },
 };
 
@@ -27,13 +27,17 @@
 
 impl Guard {
     /// Waits for a place. Dropping the future takes the wish, or the place, back.
-    pub async fn reserve(self: &Rc<Self>, req: &Reserve, known: ReservationContext) -> Result<Grant, Refusal> {
+    pub async fn reserve(
+        self: &Rc<Self>,
+        req: &ReserveRequest,
+        known: ReservationContext,
+    ) -> Result<Grant, GrantRefusal> {
         self.merge_case(req.fingerprint, req.case);
         let (tx, rx) = oneshot::channel();
         let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
         let mut wish = Wish { guard: self, id, rx };
         self.issue_grants();
-        (&mut wish.rx).await.unwrap_or(Err(Refusal::Elsewhere))
+        (&mut wish.rx).await.unwrap_or(Err(GrantRefusal::NotServed))
     }
 
     /// Gives free places to those that wait, in order, and turns those away that can't begin here.
@@ -60,7 +64,7 @@
             sleep(GRANT_TTL).await;
             let unused = guard.state.borrow().ledger.unused_grants().contains(&id);
             if unused {
-                guard.end_grant(id, RunEnd::NotRun(NotRun::NoGrant));
+                guard.end_grant(id, RunEnd::NotRun(NotRunReason::NoGrant));
             }
         });
     }
@@ -70,31 +74,36 @@
     /// Adds a wish to the queue, unless this is no place for it.
     fn admit(
         &mut self,
-        req: &Reserve,
+        req: &ReserveRequest,
         known: ReservationContext,
         tx: PlaceSender,
         now: Instant,
-    ) -> Result<WaiterId, Refusal> {
-        let endpoint = self.endpoint.as_ref().ok_or(Refusal::Elsewhere)?;
+    ) -> Result<WaiterId, GrantRefusal> {
+        let endpoint = self.endpoint.as_ref().ok_or(GrantRefusal::NotServed)?;
         let leaves = endpoint.announced.phase == EndpointPhase::Leaving;
         if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
-            return Err(Refusal::Elsewhere);
+            return Err(GrantRefusal::NotServed);
         }
-        if self.quarantine.crash_record(req.fingerprint).is_quarantined() && !req.released {
-            return Err(Refusal::Quarantined);
+        if self.quarantine.crash_record(req.fingerprint).is_quarantined() && !req.is_quarantine_trial {
+            return Err(GrantRefusal::Quarantined);
         }
-        self.origins.record(&req.route, req.certain_caller);
-        if !endpoint.record.admits(req.accepts, req.trial, count(self.ledger.endpoint_trials()), now) {
-            return Err(Refusal::Suspect);
+        self.origins.record(&req.route, req.is_certain_caller_request);
+        if !endpoint.record.admits(
+            req.worst_standing,
+            req.allows_endpoint_trial,
+            count(self.ledger.endpoint_trials()),
+            now,
+        ) {
+            return Err(GrantRefusal::Suspect);
         }
         // The guards of a service know better than an ingress whether callers use a route.
-        let call = req.call && self.origins.used_by_callers(&req.route) != Some(true);
+        let call = req.is_nested_call && self.origins.used_by_callers(&req.route) != Some(true);
         self.allowance.set_guard_count(known.service_guards);
-        if req.arrival == Arrival::Repeat {
+        if req.attempt_kind == AttemptKind::Retry {
             let retry = Retry { rank: req.rank, is_nested_call: call };
             self.allowance.record_demand(retry, now);
             if known.callee_budget_exhausted || !self.allowance.allows(retry, now) {
-                return Err(Refusal::NoAllowance);
+                return Err(GrantRefusal::RetryBudgetExhausted);
             }
         }
         self.last_waiter += 1;
@@ -104,15 +113,15 @@
             is_nested_call: call,
             rank: req.rank,
             idempotent: req.idempotent,
-            may_be_trial: req.trial,
-            accepts: req.accepts,
+            may_be_trial: req.allows_endpoint_trial,
+            accepts: req.worst_standing,
             arrived: now,
-            latest_start: now + req.useful_for,
-            is_retry: req.arrival == Arrival::Repeat,
-            repeat_share: req.arrival.repeat_share(),
+            latest_start: now + req.start_within,
+            is_retry: req.attempt_kind == AttemptKind::Retry,
+            repeat_share: req.attempt_kind.retry_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
-            is_quarantine_trial: req.released,
+            is_quarantine_trial: req.is_quarantine_trial,
         });
         self.senders.push((id, tx));
         Ok(id)
@@ -148,7 +157,7 @@
             let grant = ledger.issue(endpoint.announced.id.clone(), work);
             let id = grant.id;
             if tx.send(Ok(grant)).is_err() {
-                ledger.end(id, RunEnd::NotRun(NotRun::NoGrant), now);
+                ledger.end(id, RunEnd::NotRun(NotRunReason::NoGrant), now);
                 continue;
             }
             endpoint.record.record_start(now);
@@ -164,12 +173,14 @@
         let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
             _ if quarantine.crash_record(it.fingerprint).is_quarantined() && !it.is_quarantine_trial => {
-                Some(Refusal::Quarantined)
+                Some(GrantRefusal::Quarantined)
+            }
+            None => Some(GrantRefusal::NotServed),
+            Some(_) if !fits(*ends, pace, &it.route, now) => Some(GrantRefusal::NotServed),
+            Some(endpoint) if !endpoint.record.admits(it.accepts, it.may_be_trial, 0, now) => {
+                Some(GrantRefusal::Suspect)
             }
-            None => Some(Refusal::Elsewhere),
-            Some(_) if !fits(*ends, pace, &it.route, now) => Some(Refusal::Elsewhere),
-            Some(endpoint) if !endpoint.record.admits(it.accepts, it.may_be_trial, 0, now) => Some(Refusal::Suspect),
-            Some(_) if it.is_retry && !allowance.allows(it.retry(), now) => Some(Refusal::NoAllowance),
+            Some(_) if it.is_retry && !allowance.allows(it.retry(), now) => Some(GrantRefusal::RetryBudgetExhausted),
             Some(_) => None,
         };
         while let Some(waiter) = queue.remove_first(|it| refusal(it).is_some()) {
@@ -194,14 +205,14 @@
 struct Wish<'a> {
     guard: &'a Rc<Guard>,
     id: WaiterId,
-    rx: oneshot::Receiver<Result<Grant, Refusal>>,
+    rx: oneshot::Receiver<Result<Grant, GrantRefusal>>,
 }
 
 impl Drop for Wish<'_> {
     fn drop(&mut self) {
         // A place that was given and not taken yet is free again.
         if let Ok(Ok(grant)) = self.rx.try_recv() {
-            self.guard.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.guard.end_grant(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
             return;
         }
         let mut state = self.guard.state.borrow_mut();
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -21,7 +21,7 @@
         clock,
         endpoint::{EndpointPool, EndpointRequest},
         events::Event,
-        message::{Grant, GrantId, NotRun, Run, RunEnd, Unknown},
+        message::{Grant, GrantId, NotRunReason, RunEnd, RunRequest, UnknownReason},
     },
 };
 
@@ -56,9 +56,9 @@
     /// Uses a place: sends the work to the endpoint, once.
     ///
     /// Dropping the future stops idempotent work. Other work goes on, and its end is remembered.
-    pub async fn run(self: &Rc<Self>, run: Run) -> RunEnd {
+    pub async fn run(self: &Rc<Self>, run: RunRequest) -> RunEnd {
         let Some((pool, idempotent, stages)) = self.begin(&run) else {
-            return RunEnd::NotRun(NotRun::NoGrant);
+            return RunEnd::NotRun(NotRunReason::NoGrant);
         };
         let grant = run.grant.clone();
         let work = Rc::clone(self).execute(run, pool, stages);
@@ -70,7 +70,7 @@
         self.ended(&grant).await
     }
 
-    fn begin(&self, run: &Run) -> Option<(Rc<EndpointPool>, bool, Stages)> {
+    fn begin(&self, run: &RunRequest) -> Option<(Rc<EndpointPool>, bool, Stages)> {
         let mut state = self.state.borrow_mut();
         let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
         let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
@@ -81,10 +81,10 @@
         }
         let now = clock::now();
         let running = ActiveRun {
-            retry_share: run.repeat_share,
+            retry_share: run.retry_share,
             case_at_start: known,
             started_at: now,
-            deadline: now + run.left,
+            deadline: now + run.timeout,
             failed_calls: Vec::new(),
             failure_explained: false,
         };
@@ -99,8 +99,17 @@
         Some(begun)
     }
 
-    async fn execute(self: Rc<Self>, run: Run, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
-        let Run { grant, request, method, target, content, left, repeat_share: _, fingerprint: _ } = run;
+    async fn execute(self: Rc<Self>, run: RunRequest, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
+        let RunRequest {
+            grant,
+            request_id: request,
+            method,
+            target,
+            content,
+            timeout: left,
+            retry_share: _,
+            fingerprint: _,
+        } = run;
         let mut head = hyper::Request::new(());
         match (method.parse(), target.parse()) {
             (Ok(method), Ok(target)) => {
@@ -108,8 +117,8 @@
                 *head.uri_mut() = target;
             }
             (Err(_), _) | (_, Err(_)) => {
-                self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
-                return RunEnd::NotRun(NotRun::NoGrant);
+                self.end_grant(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
+                return RunEnd::NotRun(NotRunReason::NoGrant);
             }
         }
         *head.headers_mut() = content.headers();
@@ -152,19 +161,20 @@
             RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
             RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure_by_call(grant.id) => return,
             RunEnd::Answered { .. } => (failure, "failed"),
-            RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) | RunEnd::NotRun(NotRun::NoGrant) => return,
-            RunEnd::Unknown(Unknown::Ended) => {
+            RunEnd::Unknown(UnknownReason::TimedOut | UnknownReason::GuardStateLost)
+            | RunEnd::NotRun(NotRunReason::NoGrant) => return,
+            RunEnd::Unknown(UnknownReason::Ended) => {
                 self.add_crash_evidence(&grant.endpoint);
                 self.emit_ended_under(grant, request, took);
                 (AnswerSample::HardFailure, "ended")
             }
-            RunEnd::Unknown(Unknown::Broken | Unknown::Garbled) => (failure, "broken"),
-            RunEnd::NotRun(NotRun::Declined) => (AnswerSample::Declined, "declined"),
-            RunEnd::NotRun(NotRun::NoConnection) => {
+            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::MalformedAnswer) => (failure, "broken"),
+            RunEnd::NotRun(NotRunReason::Declined) => (AnswerSample::Declined, "declined"),
+            RunEnd::NotRun(NotRunReason::NoConnection) => {
                 self.mark_leaving_if_silent(&grant.endpoint);
                 (AnswerSample::HardFailure, "no connection")
             }
-            RunEnd::NotRun(NotRun::OtherInstance) => {
+            RunEnd::NotRun(NotRunReason::OtherInstance) => {
                 self.mark_leaving(&grant.endpoint, "another instance answered");
                 return;
             }
@@ -193,7 +203,7 @@
     pub(super) fn end_grant(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
-        let unused = end == RunEnd::NotRun(NotRun::NoGrant);
+        let unused = end == RunEnd::NotRun(NotRunReason::NoGrant);
         let may_go_on = matches!(end, RunEnd::Unknown(_));
         let on = use_of(&end);
         let Some(given) = state.ledger.end(grant, end, now) else { return };
@@ -216,9 +226,9 @@
     pub async fn query_run_end(self: &Rc<Self>, grant: &Grant) -> RunEnd {
         let known = self.state.borrow().ledger.status(grant);
         if known == GrantStatus::Unused {
-            self.end_grant(grant.id, RunEnd::NotRun(NotRun::NoGrant));
+            self.end_grant(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
         }
-        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(Unknown::Silent))
+        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::TimedOut))
     }
 
     async fn ended(&self, grant: &Grant) -> RunEnd {
@@ -230,7 +240,7 @@
             match known {
                 GrantStatus::Unused | GrantStatus::Running => ended.await,
                 GrantStatus::Ended(it) => return it,
-                GrantStatus::Unknown => return RunEnd::Unknown(Unknown::GuardGone),
+                GrantStatus::Unknown => return RunEnd::Unknown(UnknownReason::GuardStateLost),
             }
         }
     }
@@ -240,11 +250,12 @@
 fn use_of(end: &RunEnd) -> SlotUse {
     match end {
         RunEnd::Answered { status, .. } if *status < 500 => SlotUse::Answered,
-        RunEnd::Answered { .. } | RunEnd::Unknown(Unknown::Broken | Unknown::Ended | Unknown::Garbled) => {
+        RunEnd::Answered { .. }
+        | RunEnd::Unknown(UnknownReason::Broken | UnknownReason::Ended | UnknownReason::MalformedAnswer) => {
             SlotUse::Failed
         }
         RunEnd::NotRun(_) => SlotUse::Declined,
-        RunEnd::Unknown(Unknown::Silent | Unknown::GuardGone) => SlotUse::Abandoned,
+        RunEnd::Unknown(UnknownReason::TimedOut | UnknownReason::GuardStateLost) => SlotUse::Abandoned,
     }
 }
 
@@ -256,6 +267,6 @@
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        self.guard.end_grant(self.grant, RunEnd::Unknown(Unknown::Silent));
+        self.guard.end_grant(self.grant, RunEnd::Unknown(UnknownReason::TimedOut));
     }
 }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -30,8 +30,8 @@
         events::{Answered, Event},
         guard::ReservationContext,
         headers,
-        message::{Arrival, Grant, Reserve, Whole},
-        peer::Link,
+        message::{AttemptKind, Grant, HttpContent, ReserveRequest},
+        peer_link::Link,
         routes::{Config, Repeat, Route, RouteName, ServiceName},
         server::{Answer, answer},
     },
@@ -83,7 +83,7 @@
     rank: u32,
     method: Box<str>,
     target: Box<str>,
-    content: Whole,
+    content: HttpContent,
     arrived: Instant,
     /// Endpoints are told to stop by then: the caller's deadline, or the route's timeout.
     work_until: Instant,
@@ -143,7 +143,7 @@
 /// What a caller is told.
 enum Verdict {
     /// The endpoint's own answer.
-    Answer { status: u16, content: Whole },
+    Answer { status: u16, content: HttpContent },
     /// It did not run, and never will.
     NotRun(NoPlace),
     /// It may have run.
@@ -207,7 +207,7 @@
         released: Cell::new(false),
         method: head.method.as_str().into(),
         target: target.into(),
-        content: Whole::new(&passed_on, &body),
+        content: HttpContent::new(&passed_on, &body),
         arrived,
         work_until: caller_deadline.min(arrived + route.timeout),
         give_up: caller_deadline.min(arrived + route.timeout + TIMEOUT_SLACK),
@@ -252,10 +252,10 @@
 
 impl Proxy {
     /// What this proxy knows that bears on a place at its guard.
-    pub(super) fn reservation_context(&self, req: &Reserve) -> ReservationContext {
+    pub(super) fn reservation_context(&self, req: &ReserveRequest) -> ReservationContext {
         let tight = |service: &str| self.allowance_used(service);
         ReservationContext {
-            service_guards: self.directory.borrow_mut().guards_of(&req.service),
+            service_guards: self.directory.borrow_mut().guard_count(&req.service),
             callee_budget_exhausted: self.guard.calls_matching_service(&req.route, tight),
         }
     }
@@ -372,10 +372,10 @@
     }
 
     /// What the next attempt is to the allowance of its guard.
-    fn next_arrival(&self) -> Arrival {
+    fn next_arrival(&self) -> AttemptKind {
         match self.attempts.get() {
-            0 => Arrival::First { repeat_share: self.repeat_share() },
-            _ => Arrival::Repeat,
+            0 => AttemptKind::First { retry_share: self.repeat_share() },
+            _ => AttemptKind::Retry,
         }
     }
 
@@ -392,7 +392,7 @@
     }
 }
 
-fn endpoint_answer(status: u16, content: Whole) -> Answer {
+fn endpoint_answer(status: u16, content: HttpContent) -> Answer {
     let mut resp = Response::new(Full::new(Bytes::new()));
     *resp.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     *resp.headers_mut() = content.headers();
--- a/src/proxy/ingress/reserve.rs
+++ b/src/proxy/ingress/reserve.rs
@@ -22,8 +22,8 @@
         directory::{EndpointRow, ProxyName},
         events::Event,
         guard::ServingEndpoint,
-        message::{Grant, Refusal, Reserve, Reserved, path},
-        peer::{Link, LinkError},
+        message::{Grant, GrantRefusal, ReserveRequest, ReserveResponse, path},
+        peer_link::{Link, LinkError},
     },
 };
 
@@ -75,7 +75,7 @@
         /// Refusals that were stale news are worth another look; more of them are not.
         const LOOKS: u32 = 3;
         let patience = self.patience(job);
-        self.need(&job.service);
+        self.note_service_needed(&job.service);
         for _ in 0..LOOKS {
             let mut choice = self.choice(job, tried);
             let wait_until = patience.min(start + OPENING_WAIT);
@@ -117,7 +117,7 @@
         let directory = self.directory.borrow();
         let links = self.links.borrow();
         let there = links.iter().filter_map(|(name, link)| {
-            let served = &directory.by_key(link.key)?.endpoints;
+            let served = &directory.get_by_key(link.key)?.endpoints;
             let endpoint = served.endpoint.as_ref().filter(|it| !tried.contains(&it.id))?;
             (served.service == job.service).then(|| Self::reachable_there(name, link, endpoint))?
         });
@@ -148,13 +148,13 @@
         }
         let now = clock::now();
         let candidate = PlacementCandidate {
-            same_data_centre: link.near,
+            same_data_centre: link.same_data_centre,
             standing: link.standing(),
-            path_backing_off: link.rests(now),
-            load: link.load(now),
+            path_backing_off: link.is_backing_off(now),
+            load: link.estimated_load(now),
             slots: endpoint.slots,
         };
-        let told_ago = link.told_ago(now);
+        let told_ago = link.load_age(now);
         Some(Reachable { guard: Guarded::There(name.clone(), Rc::clone(link)), candidate, told_ago })
     }
 
@@ -166,7 +166,7 @@
             return true;
         }
         let directory = self.directory.borrow();
-        let serves = |link: &Link| directory.by_key(link.key).is_some_and(|it| *it.endpoints.service == *service);
+        let serves = |link: &Link| directory.get_by_key(link.key).is_some_and(|it| *it.endpoints.service == *service);
         self.links.borrow().iter().any(|it| it.1.is_opening(now) && serves(&it.1))
     }
 
@@ -177,7 +177,8 @@
     /// Asks guards in order until one gives a place; `None` if all refused.
     async fn ask(self: &Rc<Self>, job: &Job, choice: &Choice, patience: Instant, start: Instant) -> Option<Placed> {
         let mut rest = choice.order.ranked.iter();
-        let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, Refusal>)>> = FuturesUnordered::new();
+        let mut wishes: FuturesUnordered<LocalBoxFuture<'_, (usize, Result<Grant, GrantRefusal>)>> =
+            FuturesUnordered::new();
         let asked_before = job.asked.get();
         let begin = tokio::time::Instant::now();
         loop {
@@ -212,7 +213,7 @@
                         Err(why) => {
                             let (guard, waited_ms) = (guard.name(self), waited.as_millis());
                             self.events.emit(&Event::NoPlace { request: &job.request, guard, why, waited_ms });
-                            if why == Refusal::Quarantined || (wishes.is_empty() && rest.len() == 0) {
+                            if why == GrantRefusal::Quarantined || (wishes.is_empty() && rest.len() == 0) {
                                 return None;
                             }
                         }
@@ -248,33 +249,33 @@
         at: usize,
         accepts: EndpointStanding,
         patience: Instant,
-    ) -> (usize, Result<Grant, Refusal>) {
-        let req = Reserve {
-            from: self.name.clone(),
+    ) -> (usize, Result<Grant, GrantRefusal>) {
+        let req = ReserveRequest {
+            ingress: self.name.clone(),
             version: self.version(),
             service: job.service.clone(),
             route: job.route().name.clone(),
             fingerprint: job.fingerprint,
             case: self.guard.case(job.fingerprint),
-            released: job.released.get(),
+            is_quarantine_trial: job.released.get(),
             idempotent: job.idempotent(),
-            trial: Self::may_be_trial(job),
-            arrival: job.next_arrival(),
-            call: job.is_call(),
-            certain_caller: job.origin == RequestOrigin::Caller { certain: true },
+            allows_endpoint_trial: Self::may_be_trial(job),
+            attempt_kind: job.next_arrival(),
+            is_nested_call: job.is_call(),
+            is_certain_caller_request: job.origin == RequestOrigin::Caller { certain: true },
             rank: job.rank,
-            useful_for: patience.saturating_duration_since(clock::now()),
-            accepts,
+            start_within: patience.saturating_duration_since(clock::now()),
+            worst_standing: accepts,
         };
         let link = match guard {
             Guarded::Here => return (at, self.guard.reserve(&req, self.reservation_context(&req)).await),
             Guarded::There(_, link) => link,
         };
-        link.asking();
-        match link.call::<_, Reserved>(path::RESERVE, &req).await {
+        link.count_reserve_request();
+        match link.call::<_, ReserveResponse>(path::RESERVE, &req).await {
             Ok(it) => {
-                self.take_news(it.news);
-                if let Some(is_callers) = it.callers_route {
+                self.apply_guard_report(it.report);
+                if let Some(is_callers) = it.is_caller_route {
                     self.guard.set_callers_use_route(&req.route, is_callers);
                 }
                 self.guard.merge_case(req.fingerprint, it.case);
@@ -282,10 +283,10 @@
             }
             Err(error) => {
                 if !matches!(error, LinkError::NotConnected) {
-                    link.failed(clock::now());
+                    link.record_failure(clock::now());
                 }
                 log::debug!("request {}: {error}", job.request);
-                (at, Err(Refusal::Elsewhere))
+                (at, Err(GrantRefusal::NotServed))
             }
         }
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -18,7 +18,7 @@
     },
     platform::Era,
     proxy::{
-        directory::{Brief, Current, Incarnation, ProxyName, Row, Served},
+        directory::{GuardedService, Incarnation, ProxyName, ProxyStatus, Row, StatusUpdate},
         routes::{RouteName, ServiceName, Version},
     },
 };
@@ -44,32 +44,35 @@
 
 /// What an attempt is to the allowance for repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Arrival {
+pub enum AttemptKind {
     /// The first of its request.
     First {
         /// The part of it that counts as a repeat, 0 to 1: calls of repeated work do, and running work waits
         /// for them.
-        repeat_share: f64,
+        #[serde(rename = "repeat_share")]
+        retry_share: f64,
     },
     /// One more of its request; needs an allowance.
-    Repeat,
+    #[serde(rename = "Repeat")]
+    Retry,
 }
 
-impl Arrival {
+impl AttemptKind {
     /// How much of it counts as a repeat, 0 to 1.
-    pub fn repeat_share(self) -> f64 {
+    pub fn retry_share(self) -> f64 {
         match self {
-            Self::First { repeat_share } => repeat_share,
-            Self::Repeat => 1.0,
+            Self::First { retry_share } => retry_share,
+            Self::Retry => 1.0,
         }
     }
 }
 
 /// What a reserved place is for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reserve {
+pub struct ReserveRequest {
     /// The ingress.
-    pub from: ProxyName,
+    #[serde(rename = "from")]
+    pub ingress: ProxyName,
     /// The version in force at the ingress.
     pub version: Version,
     /// The service that must do the work.
@@ -79,19 +82,25 @@
     /// Whether the work may run again.
     pub idempotent: bool,
     /// Whether a suspect endpoint may be tried with it.
-    pub trial: bool,
+    #[serde(rename = "trial")]
+    pub allows_endpoint_trial: bool,
     /// What it is to the allowance for repeats.
-    pub arrival: Arrival,
+    #[serde(rename = "arrival")]
+    pub attempt_kind: AttemptKind,
     /// Whether running work waits for this.
-    pub call: bool,
+    #[serde(rename = "call")]
+    pub is_nested_call: bool,
     /// Whether a caller sent it for certain, as no work at the endpoint beside the ingress can have.
-    pub certain_caller: bool,
+    #[serde(rename = "certain_caller")]
+    pub is_certain_caller_request: bool,
     /// The rank of its class, or of the work that made it; 0 goes first.
     pub rank: u32,
     /// After this it is of less use to begin.
-    pub useful_for: Duration,
+    #[serde(rename = "useful_for")]
+    pub start_within: Duration,
     /// Up to this standing an endpoint is good enough for it.
-    pub accepts: EndpointStanding,
+    #[serde(rename = "accepts")]
+    pub worst_standing: EndpointStanding,
     /// What the request asks for; proxies of earlier releases don't say it, nor what follows.
     #[serde(default)]
     pub fingerprint: Fingerprint,
@@ -99,45 +108,51 @@
     #[serde(default)]
     pub case: CrashRecord,
     /// It is the trial of a request that is held back.
-    #[serde(default)]
-    pub released: bool,
+    #[serde(default, rename = "released")]
+    pub is_quarantine_trial: bool,
 }
 
 /// What a guard tells with every reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct News {
+pub(super) struct GuardReport {
     /// What of its row changes often.
-    pub brief: Brief,
+    #[serde(rename = "brief")]
+    pub update: StatusUpdate,
     /// Requests at the endpoint, or permitted.
     pub running: u32,
     /// Requests that wait.
     pub waiting: u32,
     /// Its allowance for repeats is used up.
-    pub allowance_used: bool,
+    #[serde(rename = "allowance_used")]
+    pub retry_budget_exhausted: bool,
 }
 
 /// Why a guard gives no place. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum GrantRefusal {
     /// The VM's endpoint is not there, leaves, or is another service's.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotServed,
     /// The endpoint is suspect or declines, and this work is not for it.
     Suspect,
     /// The endpoint has had as many repeats as it may.
-    NoAllowance,
+    #[serde(rename = "NoAllowance")]
+    RetryBudgetExhausted,
     /// The request ends the endpoints that work on it.
     Quarantined,
 }
 
-/// The answer to [`Reserve`].
+/// The answer to [`ReserveRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Reserved {
+pub(super) struct ReserveResponse {
     /// What the guard tells.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub report: GuardReport,
     /// The place, or why there is none.
-    pub result: Result<Grant, Refusal>,
+    pub result: Result<Grant, GrantRefusal>,
     /// Whether callers use the route, if the guard has heard of enough of its requests.
-    pub callers_route: Option<bool>,
+    #[serde(rename = "callers_route")]
+    pub is_caller_route: Option<bool>,
     /// What the guard knows against the request.
     #[serde(default)]
     pub case: CrashRecord,
@@ -156,14 +171,14 @@
 
 /// A request or an answer, whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct HttpContent {
     /// End-to-end headers.
     headers: Vec<(Box<str>, ByteBuf)>,
     /// The body.
     pub body: ByteBuf,
 }
 
-impl Whole {
+impl HttpContent {
     /// Of these headers and this body.
     pub fn new(headers: &HeaderMap, body: &[u8]) -> Self {
         let headers =
@@ -188,21 +203,24 @@
 
 /// Work for a reserved place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunRequest {
     /// The place.
     pub grant: Grant,
     /// The attempt of the caller.
-    pub request: Box<str>,
+    #[serde(rename = "request")]
+    pub request_id: Box<str>,
     /// How much of this counts as a repeat, 0 to 1; its own calls count alike.
-    pub repeat_share: f64,
+    #[serde(rename = "repeat_share")]
+    pub retry_share: f64,
     /// The method.
     pub method: Box<str>,
     /// Path and query.
     pub target: Box<str>,
     /// Headers and body.
-    pub content: Whole,
+    pub content: HttpContent,
     /// How long the answer is waited for.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub timeout: Duration,
     /// What the request asks for.
     #[serde(default)]
     pub fingerprint: Fingerprint,
@@ -216,19 +234,19 @@
         /// Its status.
         status: u16,
         /// Headers and body.
-        content: Whole,
+        content: HttpContent,
         /// How long the endpoint took.
         took: Duration,
     },
     /// It did not run and never will.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
     /// It may have run.
-    Unknown(Unknown),
+    Unknown(UnknownReason),
 }
 
 /// Why work did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// The place was given back, or the guard does not know it.
     NoGrant,
     /// No connection to the endpoint could be opened.
@@ -241,24 +259,28 @@
 
 /// Why it is not known whether work ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unknown {
+pub enum UnknownReason {
     /// The connection to the endpoint broke.
     Broken,
     /// The endpoint ended while it had the work.
     Ended,
     /// What came is not the endpoint's whole answer to this request.
-    Garbled,
+    #[serde(rename = "Garbled")]
+    MalformedAnswer,
     /// No answer within the time that was left.
-    Silent,
+    #[serde(rename = "Silent")]
+    TimedOut,
     /// The guard is gone, and what it knew.
-    GuardGone,
+    #[serde(rename = "GuardGone")]
+    GuardStateLost,
 }
 
-/// The answer to [`Run`].
+/// The answer to [`RunRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Ran {
+pub(super) struct RunResponse {
     /// What the guard tells.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub report: GuardReport,
     /// How it ended.
     pub end: RunEnd,
     /// What the guard now knows against the request.
@@ -268,18 +290,18 @@
 
 /// Asks what became of a place; one that was not used yet is taken back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Ask {
+pub(super) struct RunQuery {
     /// The place.
     pub grant: Grant,
 }
 
-/// An [`Ask`] for a guard that the sender can't reach itself.
+/// An [`RunQuery`] for a guard that the sender can't reach itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Relay {
+pub(super) struct RelayedQuery {
     /// The guard.
     pub to: SocketAddr,
     /// The question.
-    pub ask: Ask,
+    pub ask: RunQuery,
 }
 
 /// Who calls, and how it stands.
@@ -288,26 +310,30 @@
     /// The sender's row.
     pub row: Row,
     /// What of it changes often.
-    pub current: Current,
+    #[serde(rename = "current")]
+    pub status: ProxyStatus,
     /// The sender keeps a connection because it chose the receiver, and wants to be told how its endpoint stands.
-    pub chosen: bool,
+    #[serde(rename = "chosen")]
+    pub selected: bool,
 }
 
 /// The answer to [`Hello`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(super) struct Welcome {
+pub(super) struct HelloResponse {
     /// The answerer's row.
     pub row: Row,
     /// What of it changes often.
-    pub current: Current,
+    #[serde(rename = "current")]
+    pub status: ProxyStatus,
     /// The caller's row as known here, if that is newer than what the caller says: of an earlier run, before the
     /// caller's clock was set back.
-    pub newer: Option<Row>,
+    #[serde(rename = "newer")]
+    pub newer_caller_row: Option<Row>,
 }
 
 /// What two proxies compare first; most of the time they agree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Summary {
+pub(super) struct StateSummary {
     /// Differs where any row of the directories differs.
     pub digest: u64,
     /// The version in force.
@@ -315,23 +341,24 @@
     /// How long ago someone had the store's answer that this is the newest, as far as the sender knows.
     pub confirmed_ago: Option<Duration>,
     /// Differs where what is known against any request differs.
-    #[serde(default)]
-    pub cases: u64,
+    #[serde(default, rename = "cases")]
+    pub cases_digest: u64,
     /// The newest era of the store that the sender heard of.
-    #[serde(default)]
-    pub era: Option<Era>,
+    #[serde(default, rename = "era")]
+    pub store_era: Option<Era>,
 }
 
 /// What a proxy knows against requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Cases {
+pub(super) struct QuarantineExchange {
     /// The cases.
     pub cases: Vec<CrashRecordUpdate>,
     /// The receiver's are wanted in return.
-    pub exchange: bool,
+    #[serde(rename = "exchange")]
+    pub wants_reply: bool,
 }
 
 /// Ends an exchange of rows.
-pub(super) type Deliver = crate::rows::Deliver<Served>;
+pub(super) type Deliver = crate::rows::Deliver<GuardedService>;
 /// Answers [`Deliver`].
-pub(super) type Delivered = crate::rows::Delivered<Served>;
+pub(super) type Delivered = crate::rows::Delivered<GuardedService>;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -6,27 +6,27 @@
 mod backoff;
 mod client;
 mod clock;
+mod config_watch;
 mod control;
 pub mod directory;
 mod endpoint;
 pub mod events;
+mod gossip;
 pub mod guard;
 mod head;
 mod headers;
 mod ingress;
 mod join;
-mod links;
+mod link_set;
 pub mod message;
 mod net;
-mod peer;
-mod peers;
+mod peer_link;
+mod peer_server;
 mod quarantine;
 pub mod routes;
 mod server;
 pub mod settings;
-mod spread;
 mod stop;
-mod watch;
 
 pub use client::CallError;
 pub(crate) use client::call;
@@ -51,12 +51,12 @@
     error::Error,
     platform::{ConfigFinding, ParsedConfig, Store},
     proxy::{
-        directory::{Directory, ProxyName, Row, Served},
+        directory::{Directory, GuardedService, ProxyName, Row},
         events::{Event, Events},
         guard::Guard,
         ingress::IngressState,
-        links::Needs,
-        peer::Link,
+        link_set::RecentServices,
+        peer_link::Link,
         routes::{Config, Version},
         settings::Settings,
         stop::Signals,
@@ -95,11 +95,11 @@
     members_changed: Notify,
     /// Sorted by name.
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
-    needs: RefCell<Needs>,
+    needs: RefCell<RecentServices>,
     /// The store's list of proxies was taken in.
     joined: Cell<bool>,
     ingress: RefCell<IngressState>,
-    /// See [`directory::Current::turns`].
+    /// See [`directory::ProxyStatus::revision`].
     turns: Cell<u64>,
     /// Requests of callers that have no answer yet.
     requests: Cell<usize>,
@@ -244,7 +244,7 @@
         data_centre: settings.data_centre.clone(),
         peers: settings.advertised,
         leaving: false,
-        endpoints: Served { service: settings.service.clone(), endpoint: None },
+        endpoints: GuardedService { service: settings.service.clone(), endpoint: None },
     }
 }
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peer_server.rs
@@ -12,8 +12,11 @@
     platform::ParsedConfig,
     proxy::{
         Proxy, client,
-        message::{Ask, News, Ran, Relay, Reserve, Reserved, Run, RunEnd, Unknown, path},
-        peer::{Link, LinkError},
+        message::{
+            GuardReport, RelayedQuery, ReserveRequest, ReserveResponse, RunEnd, RunQuery, RunRequest, RunResponse,
+            UnknownReason, path,
+        },
+        peer_link::{Link, LinkError},
         routes::Version,
         server::{Answer, answer},
     },
@@ -35,16 +38,16 @@
     match head.uri.path() {
         path::RESERVE => reply(&body, |it| proxy.reserve(it)).await,
         path::RUN => reply(&body, |it| proxy.run_here(it)).await,
-        path::ASK => reply(&body, async |it: Ask| proxy.guard.query_run_end(&it.grant).await).await,
+        path::ASK => reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await,
         path::RELAY => reply(&body, |it| proxy.relay(it)).await,
-        path::HELLO => reply(&body, async |it| proxy.welcome(it)).await,
-        path::BRIEF => reply(&body, async |it| proxy.take_brief(&it)).await,
+        path::HELLO => reply(&body, async |it| proxy.answer_hello(it)).await,
+        path::BRIEF => reply(&body, async |it| proxy.apply_status_update(&it)).await,
         path::CONFIG => reply(&body, async |it| proxy.newer_config(it)).await,
-        path::SUMMARY => reply(&body, async |it| proxy.summarize(it)).await,
-        path::COMPARE => reply(&body, async |it| proxy.compare(&it)).await,
-        path::WATCH => reply(&body, async |()| proxy.substitute()).await,
+        path::SUMMARY => reply(&body, async |it| proxy.answer_summary(it)).await,
+        path::COMPARE => reply(&body, async |it| proxy.answer_compare(&it)).await,
+        path::WATCH => reply(&body, async |()| proxy.start_substituting()).await,
         path::CASES => reply(&body, async |it| proxy.exchange_cases(&it)).await,
-        path::DELIVER => reply(&body, async |it| proxy.deliver(it)).await,
+        path::DELIVER => reply(&body, async |it| proxy.answer_deliver(it)).await,
         _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
     }
 }
@@ -67,41 +70,51 @@
 }
 
 impl Proxy {
-    fn news(&self) -> News {
+    fn guard_report(&self) -> GuardReport {
         let (running, waiting) = self.guard.load();
-        News { brief: self.brief(), running, waiting, allowance_used: self.guard.retry_budget_exhausted() }
+        GuardReport {
+            update: self.status_update(),
+            running,
+            waiting,
+            retry_budget_exhausted: self.guard.retry_budget_exhausted(),
+        }
     }
 
-    async fn reserve(self: &Rc<Self>, req: Reserve) -> Reserved {
+    async fn reserve(self: &Rc<Self>, req: ReserveRequest) -> ReserveResponse {
         if req.version > self.version()
-            && let Some(it) = self.link(&req.from)
+            && let Some(it) = self.link(&req.ingress)
         {
             // Its answer tells the version, and the configuration is fetched.
-            it.greet_fully();
+            it.request_hello();
         }
         let result = self.guard.reserve(&req, self.reservation_context(&req)).await;
         let case = self.guard.case(req.fingerprint);
-        Reserved { news: self.news(), result, callers_route: self.guard.callers_use_route(&req.route), case }
+        ReserveResponse {
+            report: self.guard_report(),
+            result,
+            is_caller_route: self.guard.callers_use_route(&req.route),
+            case,
+        }
     }
 
-    async fn run_here(self: &Rc<Self>, run: Run) -> Ran {
+    async fn run_here(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
-        Ran { news: self.news(), end, case: self.guard.case(fingerprint) }
+        RunResponse { report: self.guard_report(), end, case: self.guard.case(fingerprint) }
     }
 
-    async fn relay(self: &Rc<Self>, relay: Relay) -> RunEnd {
+    async fn relay(self: &Rc<Self>, relay: RelayedQuery) -> RunEnd {
         match self.ask_at(&relay).await {
             Ok(it) => it,
             Err(error) => {
                 log::debug!("relaying to {}: {error}", relay.to);
-                RunEnd::Unknown(Unknown::Silent)
+                RunEnd::Unknown(UnknownReason::TimedOut)
             }
         }
     }
 
     /// Asks a guard, on the link to it or on a connection of its own.
-    async fn ask_at(&self, relay: &Relay) -> Result<RunEnd, LinkError> {
+    async fn ask_at(&self, relay: &RelayedQuery) -> Result<RunEnd, LinkError> {
         let link = self.links.borrow().iter().find(|it| it.1.address == relay.to).map(|it| Rc::clone(&it.1));
         if let Some(it) = link {
             return it.call(path::ASK, &relay.ask).await;
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -20,10 +20,10 @@
     proxy::{
         Proxy,
         backoff::Backoff,
+        gossip::{COALESCE_DELAY, PEER_CALL_TIMEOUT},
         guard::quarantine::CaseSource,
-        message::{Cases, path},
-        peer::Link,
-        spread::{GATHER, HELLO_TIMEOUT},
+        message::{QuarantineExchange, path},
+        peer_link::Link,
     },
 };
 
@@ -41,27 +41,27 @@
     pub(super) async fn relay_cases(self: Rc<Self>) {
         loop {
             self.guard.cases_changed.notified().await;
-            sleep(GATHER).await;
+            sleep(COALESCE_DELAY).await;
             for fingerprint in self.guard.take_cases_to_store() {
                 spawn_local(Rc::clone(&self).write_down(fingerprint));
             }
-            let news = Cases { cases: self.guard.take_changed_cases(), exchange: false };
+            let news = QuarantineExchange { cases: self.guard.take_changed_cases(), wants_reply: false };
             let links: Vec<Rc<Link>> = self.links.borrow().iter().map(|it| Rc::clone(&it.1)).collect();
             let connected: Vec<&Rc<Link>> = links.iter().filter(|it| it.is_connected()).collect();
             for link in connected.sample(&mut rand::rng(), RELAYS) {
                 let (link, news) = (Rc::clone(link), news.clone());
                 spawn_local(async move {
                     // What is lost here comes with an exchange.
-                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(HELLO_TIMEOUT, path::CASES, &news).await;
+                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &news).await;
                 });
             }
         }
     }
 
     /// Takes in what a peer knows against requests, and answers with what is known here if that is wanted.
-    pub(super) fn exchange_cases(&self, theirs: &Cases) -> Vec<CrashRecordUpdate> {
+    pub(super) fn exchange_cases(&self, theirs: &QuarantineExchange) -> Vec<CrashRecordUpdate> {
         self.guard.merge_cases(&theirs.cases, CaseSource::Peer);
-        if theirs.exchange { self.guard.cases() } else { Vec::new() }
+        if theirs.wants_reply { self.guard.cases() } else { Vec::new() }
     }
 
     /// Exchanges cases with a peer whose digest differs.
@@ -69,8 +69,8 @@
         if their_digest == self.guard.cases_digest() {
             return;
         }
-        let ours = Cases { cases: self.guard.cases(), exchange: true };
-        if let Some(it) = link.call_within::<_, Vec<CrashRecordUpdate>>(HELLO_TIMEOUT, path::CASES, &ours).await {
+        let ours = QuarantineExchange { cases: self.guard.cases(), wants_reply: true };
+        if let Some(it) = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &ours).await {
             self.guard.merge_cases(&it, CaseSource::Peer);
         }
     }
@@ -81,9 +81,9 @@
         for pause in [Duration::ZERO, CAUGHT_UP] {
             sleep(pause).await;
             while let Err(error) = self.read_quarantine().await {
-                backoff.failed(&error).await;
+                backoff.pause_after_failure(&error).await;
             }
-            backoff.answered();
+            backoff.record_answer();
         }
     }
 
@@ -127,10 +127,10 @@
             };
             match done {
                 Ok(()) => break,
-                Err(error) => backoff.failed(&error).await,
+                Err(error) => backoff.pause_after_failure(&error).await,
             }
         }
-        backoff.answered();
+        backoff.record_answer();
     }
 
     /// Begins the trial of a request that is held back, if one is due and no other proxy begins it.
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -8,7 +8,7 @@
         quarantine::{CrashRecord, CrashRecordUpdate, Quarantine},
         suspicion::EndpointStanding,
     },
-    proxy::message::{Arrival, Reserve},
+    proxy::message::{AttemptKind, ReserveRequest},
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -203,7 +203,7 @@
 #[test]
 fn a_reservation_of_an_earlier_release_is_understood() {
     let useful_for = Duration::from_secs(1);
-    let arrival = Arrival::First { repeat_share: 0.0 };
+    let arrival = AttemptKind::First { retry_share: 0.0 };
     let earlier = (
         "vm-1",
         7_u64,
@@ -220,7 +220,7 @@
     );
 
     let bytes = rmp_serde::to_vec(&earlier).expect("messages can be coded");
-    let reserve: Reserve = rmp_serde::from_slice(&bytes).expect("it is understood");
+    let reserve: ReserveRequest = rmp_serde::from_slice(&bytes).expect("it is understood");
 
-    assert_eq!((&*reserve.route, reserve.case, reserve.released), ("read", CrashRecord::default(), false));
+    assert_eq!((&*reserve.route, reserve.case, reserve.is_quarantine_trial), ("read", CrashRecord::default(), false));
 }
