--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     platform::{entries::Entries, health::USUAL_HEALTH_PATH},
-    proxy::routes::{Cluster, Config, HealthPath, Limits, Repeat, Route, ServiceName, Version},
+    proxy::routes::{Cluster, Config, HealthPath, Limits, Idempotency, Route, ServiceName, Version},
 };
 
 /// The object's `spec`, with each part as it came: one that isn't understood must not take the rest along.
@@ -170,7 +170,7 @@
         name,
         host: host.to_ascii_lowercase().into(),
         prefix: path_prefix,
-        repeat: Repeat::Never,
+        idempotency: Idempotency::NonIdempotent,
         timeout: Duration::ZERO,
         goal: Duration::ZERO,
         max_attempts: 1,
@@ -200,8 +200,8 @@
     route.clusters = clusters(terms.service, terms.weighted_clusters)?;
     match &*terms.kind {
         // Downloads are idempotent work with large answers.
-        "idempotent" | "download" => route.repeat = Repeat::Idempotent,
-        "non_idempotent" => route.repeat = Repeat::Never,
+        "idempotent" | "download" => route.idempotency = Idempotency::Idempotent,
+        "non_idempotent" => route.idempotency = Idempotency::NonIdempotent,
         _ => return Ok(Some(terms.kind)),
     }
     Ok(None)
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -29,7 +29,7 @@
         headers,
         message::{Arrival, Grant, Reserve, Whole},
         peer::Link,
-        routes::{Config, Repeat, Route, RouteName, ServiceName},
+        routes::{Config, Idempotency, Route, RouteName, ServiceName},
         server::{Answer, answer},
     },
 };
@@ -100,7 +100,7 @@
     }
 
     fn idempotent(&self) -> bool {
-        self.route().repeat == Repeat::Idempotent
+        self.route().idempotency == Idempotency::Idempotent
     }
 }
 
--- a/src/proxy/routes.rs
+++ b/src/proxy/routes.rs
@@ -17,11 +17,12 @@
 /// Whether work may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may run again.
     Idempotent,
     /// It runs at most once for each attempt of a caller.
-    Never,
+    #[serde(rename = "never")]
+    NonIdempotent,
 }
 
 /// A service that gets a share of a route's requests.
@@ -43,7 +44,8 @@
     /// The path prefix it is for; begins and ends with a slash.
     pub prefix: Box<str>,
     /// Whether its work may run more than once.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub idempotency: Idempotency,
     /// How long a caller may be kept waiting.
     pub timeout: Duration,
     /// The response time within which an answer is worth most.
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -7,7 +7,7 @@
     platform::{self, AnnounceCall, announce_call, announced, deregistered, parse_config},
     proxy::{
         guard::EndpointPhase,
-        routes::{Config, Repeat},
+        routes::{Config, Idempotency},
         settings::Settings,
     },
 };
@@ -37,10 +37,10 @@
     assert_eq!(config.version, 0x1c);
     assert_eq!(config.limits.body_bytes, 1000);
     let deep = config.route("desk.example", "/a/b/c").expect("a route");
-    assert_eq!((&*deep.name, deep.repeat, deep.rank), ("deep", Repeat::Never, 0));
+    assert_eq!((&*deep.name, deep.idempotency, deep.rank), ("deep", Idempotency::NonIdempotent, 0));
     assert_eq!((deep.timeout, deep.goal), (Duration::from_millis(2_500), Duration::from_millis(800)));
     let wide = config.route("desk.example", "/a/c").expect("a route");
-    assert_eq!((wide.repeat, wide.clusters.len(), wide.max_attempts), (Repeat::Idempotent, 2, 3));
+    assert_eq!((wide.idempotency, wide.clusters.len(), wide.max_attempts), (Idempotency::Idempotent, 2, 3));
 }
 
 #[rstest]
@@ -77,7 +77,7 @@
     let parsed = parse_config(&text).expect("it is a configuration");
 
     assert_eq!(parsed.findings, []);
-    assert_eq!(parsed.config.route("desk.example", "/a/c").map(|it| it.repeat), Some(Repeat::Idempotent));
+    assert_eq!(parsed.config.route("desk.example", "/a/c").map(|it| it.idempotency), Some(Idempotency::Idempotent));
 }
 
 #[test]
@@ -88,7 +88,7 @@
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), ["routes.wide.kind"]);
     let wide = parsed.config.route("desk.example", "/a/c").expect("a route");
-    assert_eq!((wide.repeat, wide.is_understood()), (Repeat::Never, true));
+    assert_eq!((wide.idempotency, wide.is_understood()), (Idempotency::NonIdempotent, true));
 }
 
 #[rstest]
