--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     platform::{entries::Entries, health::USUAL_HEALTH_PATH},
-    proxy::routes::{Cluster, Config, HealthPath, Limits, Idempotency, Route, ServiceName, Version},
+    proxy::routes::{Cluster, Config, HealthPath, Idempotency, RequestLimits, Route, ServiceName, Version},
 };
 
 /// The object's `spec`, with each part as it came: one that isn't understood must not take the rest along.
@@ -110,11 +110,11 @@
         Some(Ok(it)) => it,
         Some(Err(error)) => {
             findings.push(finding("limits", format!("the usual ones hold: {error}")));
-            Limits::default()
+            RequestLimits::default()
         }
         None => {
             findings.push(finding("limits", "absent; the usual ones hold"));
-            Limits::default()
+            RequestLimits::default()
         }
     };
     let health_paths = spec.services.map(|it| parse_services(it.get(), &mut findings)).unwrap_or_default();
@@ -172,7 +172,7 @@
         prefix: path_prefix,
         idempotency: Idempotency::NonIdempotent,
         timeout: Duration::ZERO,
-        goal: Duration::ZERO,
+        target_latency: Duration::ZERO,
         max_attempts: 1,
         rank: 0,
         clusters: Vec::new(),
@@ -194,7 +194,7 @@
 /// Writes down what a route asks for; returns its kind if that is unknown.
 fn apply_terms(route: &mut Route, terms: TermsSpec) -> Result<Option<Box<str>>, serde_json::Error> {
     route.timeout = seconds(terms.timeout_s)?;
-    route.goal = seconds(terms.target_latency_s)?;
+    route.target_latency = seconds(terms.target_latency_s)?;
     route.max_attempts = terms.max_attempts.max(1);
     route.rank = terms.priority;
     route.clusters = clusters(terms.service, terms.weighted_clusters)?;
@@ -220,9 +220,9 @@
     Ok(clusters)
 }
 
-fn parse_limits(raw: &str) -> Result<Limits, serde_json::Error> {
+fn parse_limits(raw: &str) -> Result<RequestLimits, serde_json::Error> {
     let spec: LimitsSpec = serde_json::from_str(raw)?;
-    Ok(Limits {
+    Ok(RequestLimits {
         head_bytes: spec.max_header_bytes,
         body_bytes: spec.max_body_bytes,
         head_time: seconds(spec.header_timeout_s)?,
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -20,7 +20,7 @@
         ingress, net,
         peer::Link,
         peers,
-        routes::Limits,
+        routes::RequestLimits,
         server::{self, Answer, answer, json},
     },
 };
@@ -50,19 +50,19 @@
 
         let proxy = Rc::clone(self);
         let limits = Rc::clone(self);
-        let limits = move || limits.config.borrow().as_ref().map_or_else(Limits::default, |it| it.limits);
+        let limits = move || limits.config.borrow().as_ref().map_or_else(RequestLimits::default, |it| it.limits);
         spawn_local(server::http1(callers, limits, move |req| ingress::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         spawn_local(server::http2(peers, move |req| peers::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         let handle = move |req| announce(Rc::clone(&proxy), req);
-        spawn_local(server::http1(announcements, Limits::default, handle));
+        spawn_local(server::http1(announcements, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
         let handle = move |_| std::future::ready(proxy.readiness());
-        spawn_local(server::http1(readiness, Limits::default, handle));
+        spawn_local(server::http1(readiness, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
         let handle = move |req| std::future::ready(proxy.observe(&req));
-        spawn_local(server::http1(metrics, Limits::default, handle));
+        spawn_local(server::http1(metrics, RequestLimits::default, handle));
         Ok(())
     }
 
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -173,7 +173,7 @@
     let Some(route) = config.route(host, head.uri.path()) else {
         return rejected(StatusCode::NOT_FOUND, "no route");
     };
-    if !route.is_understood() {
+    if !route.is_valid() {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "the route's terms aren't understood"), route.rank);
     }
     let at = config.routes().iter().position(|it| std::ptr::eq(it, route)).expect("the route is one of them");
--- a/src/proxy/ingress/placing.rs
+++ b/src/proxy/ingress/placing.rs
@@ -101,7 +101,7 @@
     fn patience(&self, job: &Job) -> Instant {
         let route = job.route();
         let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.last_call()));
-        let terms = Terms { arrived: job.arrived, goal: route.goal, give_up, call: job.is_call() };
+        let terms = Terms { arrived: job.arrived, goal: route.target_latency, give_up, call: job.is_call() };
         begin_by(terms, self.ingress.borrow().pace.mean(&route.name))
     }
 
--- a/src/proxy/routes.rs
+++ b/src/proxy/routes.rs
@@ -49,7 +49,8 @@
     /// How long a caller may be kept waiting.
     pub timeout: Duration,
     /// The response time within which an answer is worth most.
-    pub goal: Duration,
+    #[serde(rename = "goal")]
+    pub target_latency: Duration,
     /// How many endpoints one attempt of a caller may be sent to; at least 1.
     pub max_attempts: u32,
     /// Its rank; 0 goes first.
@@ -60,14 +61,14 @@
 
 impl Route {
     /// Whether the operator's terms for it are understood.
-    pub fn is_understood(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         !self.clusters.is_empty()
     }
 }
 
 /// What a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct RequestLimits {
     /// The longest head, in bytes.
     pub head_bytes: usize,
     /// The longest body, in bytes.
@@ -78,7 +79,7 @@
     pub idle_time: Duration,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     /// What holds before the first configuration.
     fn default() -> Self {
         Self {
@@ -98,7 +99,7 @@
     /// The routes, sorted by host and prefix.
     routes: Vec<Route>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: RequestLimits,
     /// Where endpoints of a service answer health questions, if not at the usual path; sorted by service. Proxies of
     /// earlier releases don't send it.
     #[serde(default)]
@@ -107,7 +108,7 @@
 
 impl Config {
     /// A configuration of these routes, in any order.
-    pub fn new(version: Version, mut routes: Vec<Route>, limits: Limits) -> Self {
+    pub fn new(version: Version, mut routes: Vec<Route>, limits: RequestLimits) -> Self {
         routes.sort_by(|a, b| key(a).cmp(&key(b)));
         Self { version, routes, limits, health_paths: Vec::new() }
     }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -17,7 +17,7 @@
     time::sleep,
 };
 
-use crate::proxy::{head::TimedHeads, net, net::Local, routes::Limits};
+use crate::proxy::{head::TimedHeads, net, net::Local, routes::RequestLimits};
 
 /// An answer with its whole body.
 pub(super) type Answer = Response<Full<Bytes>>;
@@ -52,7 +52,7 @@
 }
 
 /// Serves HTTP/1.1 for ever. A caller that leaves ends its handler.
-pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> Limits + 'static, handle: F)
+pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> RequestLimits + 'static, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = Answer> + 'static,
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -38,7 +38,7 @@
     assert_eq!(config.limits.body_bytes, 1000);
     let deep = config.route("desk.example", "/a/b/c").expect("a route");
     assert_eq!((&*deep.name, deep.idempotency, deep.rank), ("deep", Idempotency::NonIdempotent, 0));
-    assert_eq!((deep.timeout, deep.goal), (Duration::from_millis(2_500), Duration::from_millis(800)));
+    assert_eq!((deep.timeout, deep.target_latency), (Duration::from_millis(2_500), Duration::from_millis(800)));
     let wide = config.route("desk.example", "/a/c").expect("a route");
     assert_eq!((wide.idempotency, wide.clusters.len(), wide.max_attempts), (Idempotency::Idempotent, 2, 3));
 }
@@ -88,7 +88,7 @@
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), ["routes.wide.kind"]);
     let wide = parsed.config.route("desk.example", "/a/c").expect("a route");
-    assert_eq!((wide.idempotency, wide.is_understood()), (Idempotency::NonIdempotent, true));
+    assert_eq!((wide.idempotency, wide.is_valid()), (Idempotency::NonIdempotent, true));
 }
 
 #[rstest]
@@ -103,7 +103,7 @@
     let parsed = parse_config(&text).expect("it is a configuration");
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), ["routes.deep"]);
-    let understood = |path| parsed.config.route("desk.example", path).map(|it| (&*it.name, it.is_understood()));
+    let understood = |path| parsed.config.route("desk.example", path).map(|it| (&*it.name, it.is_valid()));
     assert_eq!(understood("/a/b/c"), Some(("deep", false)));
     assert_eq!(understood("/a/c"), Some(("wide", true)));
 }
@@ -118,7 +118,7 @@
     let parsed = parse_config(&text).expect("it is a configuration");
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), [place]);
-    assert!(parsed.config.route("desk.example", "/a/c").is_some_and(|it| &*it.name == "wide" && it.is_understood()));
+    assert!(parsed.config.route("desk.example", "/a/c").is_some_and(|it| &*it.name == "wide" && it.is_valid()));
 }
 
 #[rstest]
