--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -21,7 +21,7 @@
         peer::Link,
         peers,
         routes::RequestLimits,
-        server::{self, Answer, answer, json},
+        server::{self, FullResponse, json_response, response},
     },
 };
 
@@ -92,15 +92,15 @@
         }
     }
 
-    fn readiness(&self) -> Answer {
+    fn readiness(&self) -> FullResponse {
         if self.is_ready() {
-            answer(StatusCode::OK, Bytes::new())
+            response(StatusCode::OK, Bytes::new())
         } else {
-            answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
+            response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
         }
     }
 
-    fn observe(&self, req: &Request<Incoming>) -> Answer {
+    fn observe(&self, req: &Request<Incoming>) -> FullResponse {
         match req.uri().path() {
             "/metrics" => {
                 let (running, waiting) = self.guard.load();
@@ -113,10 +113,10 @@
                 for (on, millis) in self.guard.slot_ms() {
                     metrics::counter!("jayreach_slot_milliseconds_total", "use" => on).absolute(millis);
                 }
-                answer(StatusCode::OK, self.metrics.render())
+                response(StatusCode::OK, self.metrics.render())
             }
-            "/status" => json(StatusCode::OK, self.status()),
-            _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
+            "/status" => json_response(StatusCode::OK, self.status()),
+            _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         }
     }
 
@@ -193,12 +193,12 @@
 }
 
 /// Answers a call of the VM's endpoint.
-async fn announce(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+async fn announce(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
     let Some(call) = platform::announce_call(&head.method, head.uri.path()) else {
         return match head.method {
             Method::GET => proxy.observe(&Request::from_parts(head, body)),
-            _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
+            _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         };
     };
     let body = match client::collect(body, ANNOUNCEMENT_LIMIT).await {
@@ -213,14 +213,14 @@
         },
         AnnounceCall::Deregister(id) => {
             proxy.guard.deregistered(platform::deregistered(&id, &body, now));
-            json(StatusCode::OK, "{}")
+            json_response(StatusCode::OK, "{}")
         }
     }
 }
 
 impl Proxy {
     /// Takes in a heartbeat, if it tells of the endpoint beside this proxy.
-    fn take_heartbeat(self: &Rc<Self>, it: Announced) -> Answer {
+    fn take_heartbeat(self: &Rc<Self>, it: Announced) -> FullResponse {
         let settings = Rc::clone(&self.settings.borrow());
         if it.service != settings.service || it.address != settings.endpoint {
             let why = format!("this VM's endpoint is {} of {}", settings.endpoint, settings.service);
@@ -230,12 +230,12 @@
             let proxy = Rc::clone(self);
             spawn_local(async move { proxy.ask_health().await });
         }
-        json(StatusCode::OK, "{}")
+        json_response(StatusCode::OK, "{}")
     }
 }
 
 /// Refuses an announcement that can't be used.
-fn skip(proxy: &Proxy, id: &str, why: &str) -> Answer {
+fn skip(proxy: &Proxy, id: &str, why: &str) -> FullResponse {
     proxy.tell_skipped("announcement", id, why);
-    answer(StatusCode::BAD_REQUEST, format!("{why}\n"))
+    response(StatusCode::BAD_REQUEST, format!("{why}\n"))
 }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -30,7 +30,7 @@
         message::{Arrival, Grant, Reserve, Whole},
         peer::Link,
         routes::{Config, Idempotency, Route, RouteName, ServiceName},
-        server::{Answer, answer},
+        server::{FullResponse, response},
     },
 };
 
@@ -150,14 +150,14 @@
 }
 
 /// Serves one request of a caller.
-pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let arrived = clock::now();
     let (head, body) = req.into_parts();
     let id: Box<str> = platform::request_id(&head.headers).unwrap_or("").into();
     let rejected = |status: StatusCode, why: &str| {
         proxy.events.emit(&Event::Rejected { request: &id, status: status.as_u16(), why });
         metrics::counter!("jayreach_rejected_total", "status" => status.as_u16().to_string()).increment(1);
-        finish(&proxy, answer(status, format!("{why}\n")))
+        finish(&proxy, response(status, format!("{why}\n")))
     };
     let Some(config) = proxy.config.borrow().clone() else {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"), 0);
@@ -306,14 +306,14 @@
     }
 
     /// The one answer to a request.
-    fn tell(&self, job: &Job, verdict: Verdict) -> Answer {
+    fn tell(&self, job: &Job, verdict: Verdict) -> FullResponse {
         let (resp, outcome) = match verdict {
             Verdict::Answer { status, content } => (endpoint_answer(status, content), "answered"),
             Verdict::NotRun(NoPlace::NoEndpoint) => (self.refuse(job, "no endpoint\n"), "no-endpoint"),
             Verdict::NotRun(NoPlace::Full) => (self.refuse(job, "no free place in time\n"), "full"),
             Verdict::NotRun(NoPlace::Quarantined) => (self.refuse_quarantined(job), "quarantined"),
-            Verdict::Unknown => (answer(StatusCode::BAD_GATEWAY, "it may have run\n"), "unknown"),
-            Verdict::OutOfTime => (answer(StatusCode::GATEWAY_TIMEOUT, "out of time\n"), "timeout"),
+            Verdict::Unknown => (response(StatusCode::BAD_GATEWAY, "it may have run\n"), "unknown"),
+            Verdict::OutOfTime => (response(StatusCode::GATEWAY_TIMEOUT, "out of time\n"), "timeout"),
         };
         let took = clock::now().saturating_duration_since(job.arrived);
         let route = job.route();
@@ -343,15 +343,15 @@
     }
 
     /// Refuses a request that is held back; it may come back for its next trial.
-    fn refuse_quarantined(&self, job: &Job) -> Answer {
-        let mut resp = answer(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
+    fn refuse_quarantined(&self, job: &Job) -> FullResponse {
+        let mut resp = response(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
         let (name, value) = platform::retry_after(self.guard.trial_in(job.fingerprint).unwrap_or(NO_TRIAL));
         resp.headers_mut().insert(name, value);
         resp
     }
 
-    fn refuse(&self, job: &Job, why: &'static str) -> Answer {
-        come_back(answer(StatusCode::SERVICE_UNAVAILABLE, why), job.route().rank)
+    fn refuse(&self, job: &Job, why: &'static str) -> FullResponse {
+        come_back(response(StatusCode::SERVICE_UNAVAILABLE, why), job.route().rank)
     }
 }
 
@@ -387,7 +387,7 @@
     }
 }
 
-fn endpoint_answer(status: u16, content: Whole) -> Answer {
+fn endpoint_answer(status: u16, content: Whole) -> FullResponse {
     let mut resp = Response::new(Full::new(Bytes::new()));
     *resp.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     *resp.headers_mut() = content.headers();
@@ -396,7 +396,7 @@
 }
 
 /// Tells a refused caller when to come back: later for lower ranks, and spread.
-fn come_back(mut resp: Answer, rank: u32) -> Answer {
+fn come_back(mut resp: FullResponse, rank: u32) -> FullResponse {
     let spread = 1.0 + rand::rng().random_range(-COME_BACK_SPREAD..COME_BACK_SPREAD);
     let pause = COME_BACK.mul_f64(spread * f64::from(rank.min(4) + 1));
     let (name, value) = platform::retry_after(pause);
@@ -405,7 +405,7 @@
 }
 
 /// Connections end while the process stops.
-fn finish(proxy: &Proxy, mut resp: Answer) -> Answer {
+fn finish(proxy: &Proxy, mut resp: FullResponse) -> FullResponse {
     if proxy.is_stopping() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -15,7 +15,7 @@
         message::{Ask, News, Ran, Relay, Reserve, Reserved, Run, RunEnd, Unknown, path},
         peer::{Link, LinkError},
         routes::Version,
-        server::{Answer, answer},
+        server::{FullResponse, response},
     },
 };
 
@@ -23,13 +23,13 @@
 const CALL_LIMIT: usize = client::ANSWER_LIMIT + (1 << 20);
 
 /// Answers one call of a peer.
-pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
     let body = match client::collect(body, CALL_LIMIT).await {
         Ok(it) => it,
         Err(error) => {
             log::debug!("a peer's call broke off: {error}");
-            return answer(StatusCode::BAD_REQUEST, Bytes::new());
+            return response(StatusCode::BAD_REQUEST, Bytes::new());
         }
     };
     match head.uri.path() {
@@ -45,11 +45,11 @@
         path::WATCH => reply(&body, async |()| proxy.substitute()).await,
         path::CASES => reply(&body, async |it| proxy.exchange_cases(&it)).await,
         path::DELIVER => reply(&body, async |it| proxy.deliver(it)).await,
-        _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
+        _ => response(StatusCode::NOT_FOUND, Bytes::new()),
     }
 }
 
-async fn reply<Req, Resp>(body: &[u8], handle: impl AsyncFnOnce(Req) -> Resp) -> Answer
+async fn reply<Req, Resp>(body: &[u8], handle: impl AsyncFnOnce(Req) -> Resp) -> FullResponse
 where
     Req: DeserializeOwned,
     Resp: Serialize,
@@ -57,11 +57,11 @@
     match rmp_serde::from_slice(body) {
         Ok(req) => {
             let resp = handle(req).await;
-            answer(StatusCode::OK, rmp_serde::to_vec(&resp).expect("messages can be coded"))
+            response(StatusCode::OK, rmp_serde::to_vec(&resp).expect("messages can be coded"))
         }
         Err(error) => {
             log::warn!("a peer's call can't be understood: {error}");
-            answer(StatusCode::BAD_REQUEST, Bytes::new())
+            response(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
 }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -20,7 +20,7 @@
 use crate::proxy::{head::TimedHeads, net, net::Local, routes::RequestLimits};
 
 /// An answer with its whole body.
-pub(super) type Answer = Response<Full<Bytes>>;
+pub(super) type FullResponse = Response<Full<Bytes>>;
 
 /// The pause after `accept` failed, for instance for want of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -55,7 +55,7 @@
 pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> RequestLimits + 'static, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
-    A: Future<Output = Answer> + 'static,
+    A: Future<Output = FullResponse> + 'static,
 {
     let handle = Rc::new(handle);
     accept(listener, move |stream, from| {
@@ -90,7 +90,7 @@
 pub(super) async fn http2<F, A>(listener: TcpListener, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
-    A: Future<Output = Answer> + 'static,
+    A: Future<Output = FullResponse> + 'static,
 {
     let handle = Rc::new(handle);
     accept(listener, move |stream, from| {
@@ -116,15 +116,15 @@
 }
 
 /// An answer of our own.
-pub(super) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+pub(super) fn response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
     let mut resp = Response::new(Full::new(body.into()));
     *resp.status_mut() = status;
     resp
 }
 
 /// An answer of our own with JSON.
-pub(super) fn json(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut resp = answer(status, body);
+pub(super) fn json_response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
+    let mut resp = response(status, body);
     resp.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     resp
 }
