--- a/src/proxy/client.rs
+++ b/src/proxy/client.rs
@@ -16,7 +16,7 @@
 use crate::proxy::net::{self, OwnedTask};
 
 /// The longest answer that is taken in, in bytes; it is held whole until it is passed on.
-pub(super) const ANSWER_LIMIT: usize = 64 << 20;
+pub(super) const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// How long a connection may take to open: one lost packet costs a second.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
@@ -60,12 +60,12 @@
 }
 
 /// Takes in a whole body.
-pub(super) async fn collect(body: Incoming, limit: usize) -> Result<Bytes, CallError> {
+pub(super) async fn collect_body(body: Incoming, limit: usize) -> Result<Bytes, CallError> {
     Limited::new(body, limit).collect().await.map(|it| it.to_bytes()).map_err(CallError::Body)
 }
 
 /// Whether a body was refused for its length.
-pub(super) fn too_long(error: &CallError) -> bool {
+pub(super) fn is_body_too_long(error: &CallError) -> bool {
     matches!(error, CallError::Body(it) if it.is::<LengthLimitError>())
 }
 
@@ -87,7 +87,7 @@
         req.headers_mut().insert(CONTENT_TYPE, "application/json".parse().expect("a constant is a header value"));
         let resp = connection.sender.send_request(req).await?;
         let (head, body) = resp.into_parts();
-        Ok(Response::from_parts(head, collect(body, ANSWER_LIMIT).await?))
+        Ok(Response::from_parts(head, collect_body(body, MAX_RESPONSE_BYTES).await?))
     };
     timeout(limit, exchange).await.unwrap_or(Err(CallError::TimedOut))
 }
--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -201,7 +201,7 @@
             _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         };
     };
-    let body = match client::collect(body, ANNOUNCEMENT_LIMIT).await {
+    let body = match client::collect_body(body, ANNOUNCEMENT_LIMIT).await {
         Ok(it) => it,
         Err(error) => return skip(&proxy, "", &error.to_string()),
     };
--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -160,7 +160,7 @@
         start: Instant,
     ) -> RunEnd {
         let (head, body) = resp.into_parts();
-        let body = match client::collect(body, client::ANSWER_LIMIT).await {
+        let body = match client::collect_body(body, client::MAX_RESPONSE_BYTES).await {
             Ok(it) => it,
             Err(error) => {
                 log::debug!("request {}: {error}", req.request);
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -177,17 +177,17 @@
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "the route's terms aren't understood"), route.rank);
     }
     let at = config.routes().iter().position(|it| std::ptr::eq(it, route)).expect("the route is one of them");
-    let body = match timeout(
-        config.limits.head_time.max(route.timeout),
-        client::collect(body, config.limits.body_bytes),
-    )
-    .await
-    {
-        Ok(Ok(it)) => it,
-        Ok(Err(error)) if client::too_long(&error) => return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long"),
-        Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
-        Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
-    };
+    let body =
+        match timeout(config.limits.head_time.max(route.timeout), client::collect_body(body, config.limits.body_bytes))
+            .await
+        {
+            Ok(Ok(it)) => it,
+            Ok(Err(error)) if client::is_body_too_long(&error) => {
+                return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+            }
+            Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
+            Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
+        };
     let caller_deadline = arrived + platform::deadline(&head.headers).unwrap_or(route.timeout);
     let mut passed_on = headers::end_to_end(&head.headers);
     platform::set_caller_service(&mut passed_on, &proxy.settings.borrow().service);
--- a/src/proxy/peer.rs
+++ b/src/proxy/peer.rs
@@ -36,7 +36,7 @@
 /// and together with `PROBE_EVERY` below the two seconds in which a silent path should be left.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The longest answer of a peer, in bytes: an endpoint's whole answer and what is around it.
-const REPLY_LIMIT: usize = client::ANSWER_LIMIT + (1 << 20);
+const REPLY_LIMIT: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
 
 /// Why a call brought no answer.
 #[derive(Debug, Error)]
@@ -254,7 +254,7 @@
         let resp = sender.send_request(http).await?;
         self.health.borrow_mut().answered();
         let status = resp.status();
-        let body = client::collect(resp.into_body(), REPLY_LIMIT)
+        let body = client::collect_body(resp.into_body(), REPLY_LIMIT)
             .await
             .map_err(|it| LinkError::Malformed(it.to_string().into()))?;
         if status != StatusCode::OK {
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -20,12 +20,12 @@
 };
 
 /// The longest call, in bytes: a request with its body, and what is around it.
-const CALL_LIMIT: usize = client::ANSWER_LIMIT + (1 << 20);
+const CALL_LIMIT: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
 
 /// Answers one call of a peer.
 pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
-    let body = match client::collect(body, CALL_LIMIT).await {
+    let body = match client::collect_body(body, CALL_LIMIT).await {
         Ok(it) => it,
         Err(error) => {
             log::debug!("a peer's call broke off: {error}");
