--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -55,11 +55,11 @@
 
 /// One request for the endpoint.
 pub(super) struct EndpointRequest {
-    pub(super) request: Box<str>,
-    pub(super) instance: Box<str>,
+    pub(super) request_id: Box<str>,
+    pub(super) instance_id: Box<str>,
     pub(super) head: Request<()>,
     pub(super) body: Bytes,
-    pub(super) left: Duration,
+    pub(super) time_left: Duration,
 }
 
 impl EndpointPool {
@@ -70,7 +70,7 @@
     /// Sends a request and judges the answer. Dropping the future cuts the connection, which tells
     /// the endpoint to stop.
     pub(super) async fn run(&self, req: EndpointRequest) -> RunEnd {
-        let limit = req.left + ANSWER_SLACK;
+        let limit = req.time_left + ANSWER_SLACK;
         match timeout(limit, self.exchange(req)).await {
             Ok(RunEnd::Unknown(Unknown::Broken)) if self.has_ended().await => RunEnd::Unknown(Unknown::Ended),
             Ok(it) => it,
@@ -110,7 +110,7 @@
                 None => match Connection::open(self.address).await {
                     Ok(it) => it,
                     Err(error) => {
-                        log::debug!("request {}: {error}", req.request);
+                        log::debug!("request {}: {error}", req.request_id);
                         return RunEnd::NotRun(NotRun::NoConnection);
                     }
                 },
@@ -129,7 +129,7 @@
                     Some(unsent) if reused => hyper_req = unsent,
                     Some(_) => return RunEnd::NotRun(NotRun::NoConnection),
                     None => {
-                        log::debug!("request {}: {}", req.request, error.error());
+                        log::debug!("request {}: {}", req.request_id, error.error());
                         return RunEnd::Unknown(Unknown::Broken);
                     }
                 },
@@ -142,8 +142,8 @@
         *out.method_mut() = req.head.method().clone();
         *out.uri_mut() = req.head.uri().clone();
         *out.headers_mut() = req.head.headers().clone();
-        platform::set_instance(out.headers_mut(), &req.instance);
-        platform::set_deadline(out.headers_mut(), req.left);
+        platform::set_instance(out.headers_mut(), &req.instance_id);
+        platform::set_deadline(out.headers_mut(), req.time_left);
         if !out.headers().contains_key(HOST) {
             let host = self.address.to_string().parse().expect("an address is a header value");
             out.headers_mut().insert(HOST, host);
@@ -163,12 +163,12 @@
         let body = match client::collect_body(body, client::MAX_RESPONSE_BYTES).await {
             Ok(it) => it,
             Err(error) => {
-                log::debug!("request {}: {error}", req.request);
+                log::debug!("request {}: {error}", req.request_id);
                 return RunEnd::Unknown(Unknown::Broken);
             }
         };
         // Another request's late answer proves nothing of this one.
-        if platform::request_id(&head.headers).is_some_and(|it| *it != *req.request) {
+        if platform::request_id(&head.headers).is_some_and(|it| *it != *req.request_id) {
             return RunEnd::Unknown(Unknown::Garbled);
         }
         if head.status.as_u16() == 421 {
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -78,7 +78,14 @@
         told_ms_ago: u128,
     },
     /// An attempt at an endpoint ended otherwise than well.
-    Failed { request: &'a str, fingerprint: Fingerprint, guard: &'a str, attempt: u32, why: Failure, took_ms: u128 },
+    Failed {
+        request: &'a str,
+        fingerprint: Fingerprint,
+        guard: &'a str,
+        attempt: u32,
+        why: AttemptFailure,
+        took_ms: u128,
+    },
     /// The endpoint ended while it had this work, and `running` pieces of work in all.
     EndedUnder {
         endpoint: &'a str,
@@ -95,14 +102,14 @@
     /// The caller left before its answer.
     Cancelled { request: &'a str, route: &'a str, after_ms: u128, attempts: u32 },
     /// A request has its answer.
-    Answered(Answered<'a>),
+    Answered(AnsweredRequest<'a>),
     /// Lines that were left out since the last such line.
     Dropped { ordinary: u64, full: u64 },
 }
 
 /// How a request ended.
 #[derive(Debug, Serialize)]
-pub struct Answered<'a> {
+pub struct AnsweredRequest<'a> {
     /// The caller's attempt.
     pub request: &'a str,
     /// Its route.
@@ -133,7 +140,7 @@
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Failure {
+pub enum AttemptFailure {
     /// The endpoint's own answer says so.
     Status(u16),
     /// It did not run.
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -114,7 +114,13 @@
         }
         *head.headers_mut() = content.headers();
         let body = content.body.into_vec().into();
-        let req = EndpointRequest { request: request.clone(), instance: grant.endpoint.name.clone(), head, body, left };
+        let req = EndpointRequest {
+            request_id: request.clone(),
+            instance_id: grant.endpoint.name.clone(),
+            head,
+            body,
+            time_left: left,
+        };
         let start = clock::now();
         let work = pool.run(req);
         tokio::pin!(work);
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -12,7 +12,7 @@
     decide::life::EndpointId,
     proxy::{
         Proxy, clock,
-        events::{Event, Failure},
+        events::{AttemptFailure, Event},
         message::{Ask, Grant, NotRun, Ran, Relay, Run, RunEnd, Unknown, path},
         peer::{Link, LinkError},
     },
@@ -53,7 +53,7 @@
                         self.ingress.borrow_mut().pace.record(&job.route().name, took);
                         return verdict;
                     }
-                    self.failed(job, &placed, Failure::Status(status), took);
+                    self.failed(job, &placed, AttemptFailure::Status(status), took);
                     if !job.idempotent() || !self.may_repeat(job) {
                         return verdict;
                     }
@@ -61,7 +61,7 @@
                     tried.push(placed.grant.endpoint);
                 }
                 RunEnd::NotRun(why) => {
-                    self.failed(job, &placed, Failure::NotRun(why), took);
+                    self.failed(job, &placed, AttemptFailure::NotRun(why), took);
                     let reached = matches!(why, NotRun::Declined | NotRun::OtherInstance);
                     moves += 1;
                     if reached {
@@ -74,7 +74,7 @@
                     }
                 }
                 RunEnd::Unknown(why) => {
-                    self.failed(job, &placed, Failure::Unknown(why), took);
+                    self.failed(job, &placed, AttemptFailure::Unknown(why), took);
                     // Silence lasts until the time is over: there is none left for another attempt.
                     if why == Unknown::Silent {
                         return Verdict::OutOfTime;
@@ -94,7 +94,7 @@
         self.guard.case(job.fingerprint).is_held() && !job.released.get()
     }
 
-    fn failed(&self, job: &Job, placed: &Placed, why: Failure, took: Duration) {
+    fn failed(&self, job: &Job, placed: &Placed, why: AttemptFailure, took: Duration) {
         let guard = placed.guard.name(self);
         let attempt = job.attempts.get();
         self.events.emit(&Event::Failed {
@@ -136,7 +136,7 @@
         let Some(second) = second else {
             return (placed, first.await, clock::now().saturating_duration_since(start));
         };
-        self.failed(job, &placed, Failure::Overdue, clock::now().saturating_duration_since(start));
+        self.failed(job, &placed, AttemptFailure::Overdue, clock::now().saturating_duration_since(start));
         let other = self.run_placed(job, second.clone());
         tokio::pin!(other);
         let (end, placed) = tokio::select! {
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -24,7 +24,7 @@
     proxy::{
         Proxy, client, clock,
         directory::ProxyName,
-        events::{Answered, Event},
+        events::{AnsweredRequest, Event},
         guard::Surroundings,
         headers,
         message::{Arrival, Grant, Reserve, Whole},
@@ -322,7 +322,7 @@
         {
             self.guard.call_failed(parents);
         }
-        self.events.emit(&Event::Answered(Answered {
+        self.events.emit(&Event::Answered(AnsweredRequest {
             request: &job.request,
             route: &route.name,
             version: job.config.version,
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -13,7 +13,7 @@
     decide::fingerprint::Fingerprint,
     explain::{Line, Subject, explain},
     proxy::{
-        events::{Answered, Event, Events, Failure},
+        events::{AnsweredRequest, AttemptFailure, Event, Events},
         message::Unknown,
     },
 };
@@ -40,7 +40,7 @@
 }
 
 fn answered(request: &str, status: u16) -> Event<'_> {
-    Event::Answered(Answered {
+    Event::Answered(AnsweredRequest {
         request,
         route: "read",
         version: 3,
@@ -141,7 +141,7 @@
         fingerprint: Fingerprint::default(),
         guard: "vm-2",
         attempt: 1,
-        why: Failure::Status(500),
+        why: AttemptFailure::Status(500),
         took_ms: 40,
     };
     let all = written(&[answered("r.c1", 503), failed, answered("r", 500)]);
@@ -159,7 +159,7 @@
 
 fn held_back(request: &'static str) -> Event<'static> {
     let Event::Answered(it) = answered(request, 503) else { unreachable!("it is one") };
-    Event::Answered(Answered { outcome: "quarantined", quarantined: Some(Fingerprint::default()), ..it })
+    Event::Answered(AnsweredRequest { outcome: "quarantined", quarantined: Some(Fingerprint::default()), ..it })
 }
 
 #[test]
@@ -182,11 +182,11 @@
         fingerprint: Fingerprint::default(),
         guard: "vm-2",
         attempt: 1,
-        why: Failure::Unknown(Unknown::Ended),
+        why: AttemptFailure::Unknown(Unknown::Ended),
         took_ms: 31,
     };
     let Event::Answered(it) = answered("r1", 502) else { unreachable!("it is one") };
-    let unknown = Event::Answered(Answered { outcome: "unknown", ..it });
+    let unknown = Event::Answered(AnsweredRequest { outcome: "unknown", ..it });
     let all = written(&[ended_under("r1", "i-1", 1), failed, unknown]);
 
     let history = explain(&all, &Subject::Request("r1".into()));
