--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -135,7 +135,7 @@
             "row": row,
             "running": running,
             "waiting": waiting,
-            "requests": self.requests.get(),
+            "requests": self.open_requests.get(),
             "watching": self.watching.get(),
             "confirmed_ms": self.confirmed_ms(),
             "peers": peers,
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -79,16 +79,16 @@
     /// The configuration in force; its version never goes down.
     config: RefCell<Option<Rc<Config>>>,
     /// What of it wasn't understood.
-    findings: RefCell<Vec<ConfigFinding>>,
+    config_findings: RefCell<Vec<ConfigFinding>>,
     config_changed: Notify,
     /// A configuration is being fetched from a peer.
-    fetching: Cell<bool>,
+    fetching_config: Cell<bool>,
     /// When someone last had the store's answer that the configuration in force is the newest, as far as known.
-    confirmed: Cell<Option<Instant>>,
+    config_confirmed_at: Cell<Option<Instant>>,
     /// This proxy watches the store for the others.
     watching: Cell<bool>,
     /// The store gave the last watch, or the read before it, no answer.
-    store_silent: Cell<bool>,
+    store_unreachable: Cell<bool>,
     substitution: Cell<Substitution>,
     directory: RefCell<Directory>,
     /// Some row changed, or a proxy joined or left.
@@ -102,11 +102,11 @@
     /// See [`directory::Current::turns`].
     turns: Cell<u64>,
     /// Requests of callers that have no answer yet.
-    requests: Cell<usize>,
+    open_requests: Cell<usize>,
     /// Set by SIGTERM.
     stop: Cell<Option<Stop>>,
     /// `stop` was set.
-    stops: Notify,
+    stop_requested: Notify,
     metrics: PrometheusHandle,
 }
 
@@ -146,15 +146,15 @@
             started: now,
             settings_path: path.into(),
             store: Store::new(settings.store),
-            guard: Rc::new(Guard::new(rand::random(), settings.announce_every, terms, Rc::clone(&events))),
+            guard: Rc::new(Guard::new(rand::random(), settings.announce_interval, terms, Rc::clone(&events))),
             events,
             config: RefCell::default(),
-            findings: RefCell::default(),
+            config_findings: RefCell::default(),
             config_changed: Notify::new(),
-            fetching: Cell::new(false),
-            confirmed: Cell::new(None),
+            fetching_config: Cell::new(false),
+            config_confirmed_at: Cell::new(None),
             watching: Cell::new(false),
-            store_silent: Cell::new(false),
+            store_unreachable: Cell::new(false),
             substitution: Cell::default(),
             directory: RefCell::new(Directory::new(first_row(&settings), now)),
             settings: RefCell::new(Rc::new(settings)),
@@ -164,9 +164,9 @@
             joined: Cell::new(false),
             ingress: RefCell::default(),
             turns: Cell::new(0),
-            requests: Cell::new(0),
+            open_requests: Cell::new(0),
             stop: Cell::new(None),
-            stops: Notify::new(),
+            stop_requested: Notify::new(),
             metrics: metrics_recorder()?,
         })
     }
@@ -186,7 +186,7 @@
         for it in &findings {
             self.events.emit(&Event::ConfigRefused { version: config.version, place: &it.place, why: &it.problem });
         }
-        *self.findings.borrow_mut() = findings;
+        *self.config_findings.borrow_mut() = findings;
         self.events.emit(&Event::Config {
             version: config.version,
             before,
@@ -231,7 +231,7 @@
 
     /// Counts a request until the result is dropped.
     fn count_request(self: &Rc<Self>) -> CountedRequest {
-        self.requests.set(self.requests.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         CountedRequest(Rc::clone(self))
     }
 }
@@ -253,7 +253,7 @@
 
 impl Drop for CountedRequest {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -116,6 +116,6 @@
     fn newer_config(&self, known: Version) -> Option<ParsedConfig> {
         let config = self.config.borrow();
         let newer = config.as_deref().filter(|it| it.version > known)?;
-        Some(ParsedConfig { config: newer.clone(), findings: self.findings.borrow().clone() })
+        Some(ParsedConfig { config: newer.clone(), findings: self.config_findings.borrow().clone() })
     }
 }
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -34,9 +34,9 @@
     /// The platform's store.
     pub store: SocketAddr,
     /// How often the endpoint announces itself.
-    pub announce_every: Duration,
+    pub announce_interval: Duration,
     /// How long the platform lets a proxy finish after SIGTERM.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Arrivals at a service beyond the first of each request, as a share of its requests.
     pub retry_ratio: f64,
     /// Arrivals allowed beyond the ratio, for all guards of a service together.
@@ -67,8 +67,8 @@
     let metrics = section.required_address("metrics");
     let endpoint = section.required_address("endpoint");
     let store = section.required_address("store");
-    let announce_every = section.required_decimal("announce_every_s", 0.01..3_600.0);
-    let grace = section.required_decimal("grace_s", 0.5..3_600.0);
+    let announce_interval = section.required_decimal("announce_every_s", 0.01..3_600.0);
+    let shutdown_grace = section.required_decimal("grace_s", 0.5..3_600.0);
     let retry_ratio = section.required_decimal("retry_ratio", 0.0..10.0);
     let retry_slack = section.required_decimal("retry_slack", 0.0..1e9);
     Some(Settings {
@@ -83,8 +83,8 @@
         metrics: metrics?,
         endpoint: endpoint?,
         store: store?,
-        announce_every: Duration::from_secs_f64(announce_every?),
-        grace: Duration::from_secs_f64(grace?),
+        announce_interval: Duration::from_secs_f64(announce_interval?),
+        shutdown_grace: Duration::from_secs_f64(shutdown_grace?),
         retry_ratio: retry_ratio?,
         retry_slack: retry_slack?,
     })
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -294,7 +294,7 @@
     /// Fetches the configuration from a peer that has a newer one.
     pub(super) fn fetch_config(self: &Rc<Self>, link: &Rc<Link>) {
         // Many messages tell of a new version; one fetch is enough.
-        if self.fetching.replace(true) {
+        if self.fetching_config.replace(true) {
             return;
         }
         let (proxy, link) = (Rc::clone(self), Rc::clone(link));
@@ -305,7 +305,7 @@
             {
                 proxy.put_in_force(it, "peer");
             }
-            proxy.fetching.set(false);
+            proxy.fetching_config.set(false);
         });
     }
 }
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -69,9 +69,9 @@
     }
 
     async fn finish(self: &Rc<Self>) {
-        let stop = Stop::new(clock::now(), self.settings.borrow().grace);
+        let stop = Stop::new(clock::now(), self.settings.borrow().shutdown_grace);
         self.stop.set(Some(stop));
-        self.stops.notify_waiters();
+        self.stop_requested.notify_waiters();
         self.tell_stopping("SIGTERM");
         let removal = self.leave_fleet();
         let hand_over = async {
@@ -113,13 +113,13 @@
 
     /// Requests and runs that have no end yet.
     fn under_way(&self) -> usize {
-        self.requests.get() + self.guard.running()
+        self.open_requests.get() + self.guard.running()
     }
 
     /// Waits until a stopping process has to give its last answers.
     pub(super) async fn last_call(&self) {
         while self.stop.get().is_none() {
-            self.stops.notified().await;
+            self.stop_requested.notified().await;
         }
         while let Some(left) = self.stop.get().and_then(|it| it.last_call().checked_duration_since(clock::now())) {
             sleep(left.max(Duration::from_millis(1))).await;
--- a/src/proxy/watch.rs
+++ b/src/proxy/watch.rs
@@ -74,7 +74,7 @@
 
     /// How long ago anyone had the store's answer that the configuration in force is the newest, as far as known.
     pub(super) fn confirmed_ago(&self) -> Option<Duration> {
-        self.confirmed.get().map(|it| clock::now().saturating_duration_since(it))
+        self.config_confirmed_at.get().map(|it| clock::now().saturating_duration_since(it))
     }
 
     /// [`Self::confirmed_ago`] for people.
@@ -85,7 +85,7 @@
     /// Takes in how long ago someone had the store's answer.
     pub(super) fn confirm(&self, ago: Duration) {
         let at = clock::now().checked_sub(ago);
-        self.confirmed.set(self.confirmed.get().max(at));
+        self.config_confirmed_at.set(self.config_confirmed_at.get().max(at));
     }
 
     /// Follows the configuration at the store while it is this proxy's turn.
@@ -132,7 +132,7 @@
 
     /// The store answers this watcher.
     fn regained_store(&self) {
-        self.store_silent.set(false);
+        self.store_unreachable.set(false);
         let mut substitution = self.substitution.get();
         substitution.answered();
         self.substitution.set(substitution);
@@ -141,7 +141,7 @@
     /// The store gives this watcher no answer. All watchers, and only they, may have lost their way to it: another is asked
     /// to watch at once, since the others would notice only when the last confirmation has grown old.
     fn lost_store(self: &Rc<Self>) {
-        self.store_silent.set(true);
+        self.store_unreachable.set(true);
         let mut substitution = self.substitution.get();
         if substitution.asks(clock::now()) {
             spawn_local(Rc::clone(self).ask_for_substitute());
@@ -164,7 +164,7 @@
     /// Watches in the place of a peer that lost its way to the store; false if this proxy has lost it, too.
     pub(super) fn substitute(&self) -> bool {
         if self.watching.get() {
-            return !self.store_silent.get();
+            return !self.store_unreachable.get();
         }
         let mut substitution = self.substitution.get();
         substitution.begin(clock::now());
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -280,7 +280,7 @@
 
     assert_eq!((&*settings.name, &*settings.data_centre), ("sidecar-a-1", "a"));
     assert_eq!(settings.callers.to_string(), "10.1.0.8:8304");
-    assert_eq!((settings.grace, settings.retry_slack), (Duration::from_secs(6), 60.0));
+    assert_eq!((settings.shutdown_grace, settings.retry_slack), (Duration::from_secs(6), 60.0));
     assert_eq!(settings.advertised, settings.peers);
 }
 
