--- a/src/proxy/control.rs
+++ b/src/proxy/control.rs
@@ -39,7 +39,7 @@
 
 impl Proxy {
     /// Opens all listeners and serves them.
-    pub(super) fn listen(self: &Rc<Self>) -> Result<(), Error> {
+    pub(super) fn start_listeners(self: &Rc<Self>) -> Result<(), Error> {
         let settings = Rc::clone(&self.settings.borrow());
         let open = |address| net::listen(address).map_err(|it| Error::io(format!("listening on {address}"), it));
         let callers = open(settings.callers)?;
@@ -236,6 +236,6 @@
 
 /// Refuses an announcement that can't be used.
 fn skip(proxy: &Proxy, id: &str, why: &str) -> FullResponse {
-    proxy.tell_skipped("announcement", id, why);
+    proxy.report_skipped_entry("announcement", id, why);
     response(StatusCode::BAD_REQUEST, format!("{why}\n"))
 }
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -162,7 +162,7 @@
     let Some(config) = proxy.config.borrow().clone() else {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"), 0);
     };
-    if proxy.takes_no_more() {
+    if proxy.refuses_new_requests() {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "this proxy stops"), 0);
     }
     let host = head.headers.get(HOST).and_then(|it| it.to_str().ok()).or(head.uri.host());
@@ -219,7 +219,7 @@
     let cancelled = Cancelled { proxy: &proxy, job: &job, answered: Cell::new(false) };
     let verdict = tokio::select! {
         it = proxy.serve(&job) => it,
-        () = proxy.last_call() => job.without_place(NoPlace::Full),
+        () = proxy.final_responses_due() => job.without_place(NoPlace::Full),
     };
     cancelled.answered.set(true);
     proxy.tell(&job, verdict)
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -91,7 +91,7 @@
 
     fn take_list(&self, list: Listing<PresenceObject>) {
         for it in &list.skipped {
-            self.tell_skipped("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.why);
         }
         // An empty one may be older than all the fleet.
         self.joined.set(self.joined.get() || !list.objects.is_empty());
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -125,15 +125,15 @@
 
 async fn run_here(path: &Path) -> Result<(), Error> {
     // Before all else: a signal that finds no handler ends the process.
-    let signals = Signals::take().map_err(|it| Error::io("taking signals", it))?;
+    let signals = Signals::register().map_err(|it| Error::io("taking signals", it))?;
     let settings = Settings::load(path)?;
     let events =
         Events::start(settings.name.clone(), io::stdout()).map_err(|it| Error::io("starting the event writer", it))?;
     let proxy = Rc::new(Proxy::new(settings, path, Rc::new(events))?);
     proxy.events.emit(&Event::Started { version: env!("CARGO_PKG_VERSION") });
-    proxy.listen()?;
+    proxy.start_listeners()?;
     proxy.start_tasks();
-    stop::wait(&proxy, signals).await;
+    stop::run_until_stopped(&proxy, signals).await;
     Ok(())
 }
 
@@ -177,7 +177,7 @@
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    fn put_in_force(&self, parsed: ParsedConfig, source: &str) {
+    fn activate_config(&self, parsed: ParsedConfig, source: &str) {
         let ParsedConfig { config, findings } = parsed;
         let before = self.version();
         if config.version <= before {
@@ -210,7 +210,7 @@
     }
 
     /// Says that something which another writer left or sent, in the store or as an announcement, can't be used.
-    fn tell_skipped(&self, of: &'static str, entry: &str, why: &str) {
+    fn report_skipped_entry(&self, of: &'static str, entry: &str, why: &str) {
         self.events.emit(&Event::EntrySkipped { entry, why });
         metrics::counter!("jayreach_entries_skipped_total", "of" => of).increment(1);
     }
@@ -220,7 +220,7 @@
     }
 
     /// Whether new requests are refused at once: what begins now could not be finished.
-    fn takes_no_more(&self) -> bool {
+    fn refuses_new_requests(&self) -> bool {
         self.stop.get().is_some_and(|it| it.stage() != Stage::HandingOver)
     }
 
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -91,7 +91,7 @@
     async fn read_quarantine(&self) -> Result<(), StoreFailure> {
         let list = self.store.quarantined(Consistency::Stale).await?;
         for it in &list.skipped {
-            self.tell_skipped("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.why);
         }
         let told =
             list.objects.iter().map(|it| ToldCase { fingerprint: it.fingerprint, case: it.case, age: Duration::ZERO });
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -303,7 +303,7 @@
             if let Some(Some(it)) =
                 link.call_within::<_, Option<ParsedConfig>>(CONFIG_TIMEOUT, path::CONFIG, &known).await
             {
-                proxy.put_in_force(it, "peer");
+                proxy.activate_config(it, "peer");
             }
             proxy.fetching_config.set(false);
         });
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -25,13 +25,13 @@
 
 impl Signals {
     /// Handles them from now on.
-    pub(super) fn take() -> io::Result<Self> {
+    pub(super) fn register() -> io::Result<Self> {
         Ok(Self { term: signal(SignalKind::terminate())?, hup: signal(SignalKind::hangup())? })
     }
 }
 
 /// Serves until SIGTERM, then finishes what is under way.
-pub(super) async fn wait(proxy: &Rc<Proxy>, signals: Signals) {
+pub(super) async fn run_until_stopped(proxy: &Rc<Proxy>, signals: Signals) {
     let Signals { mut term, mut hup } = signals;
     let mut look = interval(SETTINGS_EVERY);
     loop {
@@ -117,7 +117,7 @@
     }
 
     /// Waits until a stopping process has to give its last answers.
-    pub(super) async fn last_call(&self) {
+    pub(super) async fn final_responses_due(&self) {
         while self.stop.get().is_none() {
             self.stop_requested.notified().await;
         }
--- a/src/proxy/watch.rs
+++ b/src/proxy/watch.rs
@@ -174,7 +174,7 @@
 
     fn take_config(&self, object: ConfigObject) -> Position {
         match object.config {
-            Some(Ok(it)) => self.put_in_force(it, "store"),
+            Some(Ok(it)) => self.activate_config(it, "store"),
             Some(Err(error)) => {
                 self.events.emit(&Event::ConfigRefused { version: 0, place: "all of it", why: &error.to_string() });
             }
