--- a/src/proxy/control.rs
+++ b/src/proxy/admin.rs
@@ -70,14 +70,14 @@
     pub(super) fn start_tasks(self: &Rc<Self>) {
         spawn_local(Rc::clone(self).read_first_config());
         spawn_local(Rc::clone(self).follow_config());
-        spawn_local(Rc::clone(self).read_first_quarantine());
+        spawn_local(Rc::clone(self).load_quarantine());
         spawn_local(Rc::clone(self).join());
         spawn_local(Rc::clone(self).keep_objects());
         spawn_local(Rc::clone(self).tell_changes());
         spawn_local(Rc::clone(self).keep_links());
         spawn_local(Rc::clone(self).keep_exchanging());
         spawn_local(Rc::clone(self).relay_versions());
-        spawn_local(Rc::clone(self).relay_cases());
+        spawn_local(Rc::clone(self).gossip_cases());
         spawn_local(Rc::clone(self).find_endpoint());
         spawn_local(Rc::clone(self).tell_slots());
     }
--- a/src/proxy/head.rs
+++ b/src/proxy/header_timeout.rs
@@ -32,9 +32,9 @@
 
 /// Tells a connection when its requests begin and end.
 #[derive(Debug, Clone)]
-pub(super) struct HeadWatch(Rc<Cell<Phase>>);
+pub(super) struct RequestPhase(Rc<Cell<Phase>>);
 
-impl HeadWatch {
+impl RequestPhase {
     /// A request's head is whole; the request ends when the result is dropped.
     pub(super) fn serving(&self) -> Serving {
         self.0.set(Phase::Serving);
@@ -43,7 +43,7 @@
 }
 
 /// A request that is being served.
-pub(super) struct Serving(HeadWatch);
+pub(super) struct Serving(RequestPhase);
 
 impl Drop for Serving {
     fn drop(&mut self) {
@@ -52,7 +52,7 @@
 }
 
 /// A caller's connection that watches how long heads take.
-pub(super) struct TimedHeads {
+pub(super) struct HeaderTimeoutStream {
     stream: TcpStream,
     limit: Duration,
     phase: Rc<Cell<Phase>>,
@@ -60,16 +60,16 @@
     overdue: Pin<Box<Sleep>>,
 }
 
-impl TimedHeads {
+impl HeaderTimeoutStream {
     /// Each head may take `limit` from its first byte.
-    pub(super) fn new(stream: TcpStream, limit: Duration) -> (Self, HeadWatch) {
+    pub(super) fn new(stream: TcpStream, limit: Duration) -> (Self, RequestPhase) {
         let phase = Rc::new(Cell::new(Phase::Idle));
         let overdue = Box::pin(sleep_until(Instant::now()));
-        (Self { stream, limit, phase: Rc::clone(&phase), overdue }, HeadWatch(phase))
+        (Self { stream, limit, phase: Rc::clone(&phase), overdue }, RequestPhase(phase))
     }
 }
 
-impl AsyncRead for TimedHeads {
+impl AsyncRead for HeaderTimeoutStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let filled = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf)?;
@@ -91,7 +91,7 @@
     }
 }
 
-impl AsyncWrite for TimedHeads {
+impl AsyncWrite for HeaderTimeoutStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -54,7 +54,7 @@
                 backoff.failed(&error).await;
             }
             backoff.answered();
-            self.write_all_down();
+            self.store_held_cases();
         }
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -3,15 +3,15 @@
 //! Everything runs on one thread, since the VM has a fraction of a core. Decisions are in
 //! [`decide`](crate::decide); this module and its parts do input and output and call them.
 
+mod admin;
 mod backoff;
 mod client;
 mod clock;
-mod control;
 pub mod directory;
 mod endpoint;
 pub mod events;
 pub mod guard;
-mod head;
+mod header_timeout;
 mod headers;
 mod ingress;
 mod join;
--- a/src/proxy/quarantine.rs
+++ b/src/proxy/quarantine.rs
@@ -38,7 +38,7 @@
 
 impl Proxy {
     /// Tells some peers of what is known anew against requests; they tell others.
-    pub(super) async fn relay_cases(self: Rc<Self>) {
+    pub(super) async fn gossip_cases(self: Rc<Self>) {
         loop {
             self.guard.cases_changed.notified().await;
             sleep(GATHER).await;
@@ -65,7 +65,7 @@
     }
 
     /// Exchanges cases with a peer whose digest differs.
-    pub(super) async fn even_out_cases(&self, their_digest: u64, link: &Rc<Link>) {
+    pub(super) async fn sync_cases(&self, their_digest: u64, link: &Rc<Link>) {
         if their_digest == self.guard.cases_digest() {
             return;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Takes in what the store has of an earlier time: at once, and again when that has caught up, at a tenth of the price each.
-    pub(super) async fn read_first_quarantine(self: Rc<Self>) {
+    pub(super) async fn load_quarantine(self: Rc<Self>) {
         let mut backoff = Backoff::new(&self);
         for pause in [Duration::ZERO, CAUGHT_UP] {
             sleep(pause).await;
@@ -100,7 +100,7 @@
     }
 
     /// Writes down all that is held back, where this proxy watches the store for the rest.
-    pub(super) fn write_all_down(self: &Rc<Self>) {
+    pub(super) fn store_held_cases(self: &Rc<Self>) {
         if !self.watching.get() {
             return;
         }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -17,7 +17,7 @@
     time::sleep,
 };
 
-use crate::proxy::{head::TimedHeads, net, net::Local, routes::RequestLimits};
+use crate::proxy::{header_timeout::HeaderTimeoutStream, net, net::Local, routes::RequestLimits};
 
 /// An answer with its whole body.
 pub(super) type FullResponse = Response<Full<Bytes>>;
@@ -61,7 +61,7 @@
     accept(listener, move |stream, from| {
         let handle = Rc::clone(&handle);
         let limits = limits();
-        let (stream, heads) = TimedHeads::new(stream, limits.head_time);
+        let (stream, heads) = HeaderTimeoutStream::new(stream, limits.head_time);
         let service = service_fn(move |req| {
             let serving = heads.serving();
             let answer = handle(req);
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -219,7 +219,7 @@
             return;
         };
         self.take_summary(theirs, link);
-        self.even_out_cases(theirs.cases, link).await;
+        self.sync_cases(theirs.cases, link).await;
         if theirs.digest == self.directory.borrow().digest() {
             return;
         }
