--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -94,7 +94,7 @@
             self.report_skipped_entry("store", &it.name, &it.why);
         }
         // An empty one may be older than all the fleet.
-        self.joined.set(self.joined.get() || !list.objects.is_empty());
+        self.members_loaded.set(self.members_loaded.get() || !list.objects.is_empty());
         let listed = list.objects.into_iter().filter(|it| it.name != self.name);
         self.directory.borrow_mut().seed(listed, clock::now());
         self.members_changed.notify_one();
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -20,7 +20,7 @@
 mod net;
 mod peer;
 mod peers;
-mod quarantine;
+mod quarantine_sync;
 pub mod routes;
 mod server;
 pub mod settings;
@@ -97,10 +97,10 @@
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
     needs: RefCell<Needs>,
     /// The store's list of proxies was taken in.
-    joined: Cell<bool>,
+    members_loaded: Cell<bool>,
     ingress: RefCell<IngressState>,
     /// See [`directory::Current::turns`].
-    turns: Cell<u64>,
+    endpoint_changes: Cell<u64>,
     /// Requests of callers that have no answer yet.
     open_requests: Cell<usize>,
     /// Set by SIGTERM.
@@ -161,9 +161,9 @@
             members_changed: Notify::new(),
             links: RefCell::default(),
             needs: RefCell::default(),
-            joined: Cell::new(false),
+            members_loaded: Cell::new(false),
             ingress: RefCell::default(),
-            turns: Cell::new(0),
+            endpoint_changes: Cell::new(0),
             open_requests: Cell::new(0),
             stop: Cell::new(None),
             stop_requested: Notify::new(),
--- a/src/proxy/spread.rs
+++ b/src/proxy/spread.rs
@@ -45,7 +45,7 @@
 impl Proxy {
     /// What of this proxy changes often.
     fn current(&self) -> Current {
-        Current { version: self.version(), turns: self.turns.get(), standing: self.guard.standing() }
+        Current { version: self.version(), turns: self.endpoint_changes.get(), standing: self.guard.standing() }
     }
 
     /// [`Self::current`] with whose it is.
@@ -169,13 +169,13 @@
         loop {
             tokio::select! {
                 () = self.guard.changed.notified() => {
-                    self.turns.set(self.turns.get() + 1);
+                    self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     let endpoint = self.guard.endpoint_row();
                     self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
                     self.greet_all();
                 }
                 () = self.guard.turned.notified() => {
-                    self.turns.set(self.turns.get() + 1);
+                    self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     self.links.borrow().iter().for_each(|it| it.1.greet_briefly());
                 }
             }
--- a/src/proxy/watch.rs
+++ b/src/proxy/watch.rs
@@ -29,7 +29,7 @@
     /// Follows the configuration for ever: at the store when it is this proxy's turn, else as others tell it.
     pub(super) async fn follow_config(self: Rc<Self>) {
         let start = clock::now();
-        while !self.joined.get() && clock::now() < start + JOIN_WAIT {
+        while !self.members_loaded.get() && clock::now() < start + JOIN_WAIT {
             sleep(LOOK_EVERY / 4).await;
         }
         loop {
