--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -166,7 +166,7 @@
 
 /// Where the lines go.
 #[derive(Debug)]
-pub struct Events {
+pub struct EventLog {
     /// Names this process in every line.
     proxy: ProxyName,
     lines: Sender<Vec<u8>>,
@@ -176,7 +176,7 @@
     dropped: RefCell<(u64, u64)>,
 }
 
-impl Events {
+impl EventLog {
     /// Starts the writer, which ends with this.
     pub fn start(proxy: ProxyName, out: impl Write + Send + 'static) -> io::Result<Self> {
         let (lines, rx) = bounded(QUEUE);
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -32,7 +32,7 @@
         clock,
         directory::{EndpointRow, Incarnation},
         endpoint::EndpointPool,
-        events::Events,
+        events::EventLog,
         guard::ledger::{FailedCall, Given, Ledger},
         message::{Grant, Refusal},
         routes::{RouteName, ServiceName},
@@ -187,7 +187,7 @@
 /// The guard of this VM's endpoint.
 pub struct Guard {
     announce_every: Duration,
-    events: Rc<Events>,
+    events: Rc<EventLog>,
     state: RefCell<State>,
     /// Some run ended.
     run_ended: Notify,
@@ -201,7 +201,7 @@
 
 impl Guard {
     /// A guard that knows no endpoint yet.
-    pub fn new(incarnation: Incarnation, announce_every: Duration, terms: Terms, events: Rc<Events>) -> Self {
+    pub fn new(incarnation: Incarnation, announce_every: Duration, terms: Terms, events: Rc<EventLog>) -> Self {
         Self {
             announce_every,
             events,
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -52,7 +52,7 @@
     platform::{ConfigFinding, ParsedConfig, Store},
     proxy::{
         directory::{Directory, ProxyName, Row, Served},
-        events::{Event, Events},
+        events::{Event, EventLog},
         guard::Guard,
         ingress::IngressState,
         links::Needs,
@@ -73,7 +73,7 @@
     started: Instant,
     settings_path: PathBuf,
     settings: RefCell<Rc<Settings>>,
-    events: Rc<Events>,
+    events: Rc<EventLog>,
     store: Store,
     guard: Rc<Guard>,
     /// The configuration in force; its version never goes down.
@@ -127,8 +127,8 @@
     // Before all else: a signal that finds no handler ends the process.
     let signals = Signals::register().map_err(|it| Error::io("taking signals", it))?;
     let settings = Settings::load(path)?;
-    let events =
-        Events::start(settings.name.clone(), io::stdout()).map_err(|it| Error::io("starting the event writer", it))?;
+    let events = EventLog::start(settings.name.clone(), io::stdout())
+        .map_err(|it| Error::io("starting the event writer", it))?;
     let proxy = Rc::new(Proxy::new(settings, path, Rc::new(events))?);
     proxy.events.emit(&Event::Started { version: env!("CARGO_PKG_VERSION") });
     proxy.start_listeners()?;
@@ -138,7 +138,7 @@
 }
 
 impl Proxy {
-    fn new(settings: Settings, path: &Path, events: Rc<Events>) -> Result<Self, Error> {
+    fn new(settings: Settings, path: &Path, events: Rc<EventLog>) -> Result<Self, Error> {
         let now = clock::now();
         let terms = Terms { ratio: settings.retry_ratio, slack: settings.retry_slack };
         Ok(Self {
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -13,7 +13,7 @@
     decide::fingerprint::Fingerprint,
     explain::{Line, Subject, explain},
     proxy::{
-        events::{AnsweredRequest, AttemptFailure, Event, Events},
+        events::{AnsweredRequest, AttemptFailure, Event, EventLog},
         message::Unknown,
     },
 };
@@ -74,7 +74,7 @@
     let (go, rx) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
     let out = Slow { go: Some(rx), written: Arc::clone(&written) };
-    let events = Events::start("vm-1".into(), out).expect("a writer");
+    let events = EventLog::start("vm-1".into(), out).expect("a writer");
     let start = Instant::now();
 
     for at in 0..20_000 {
@@ -95,7 +95,7 @@
 #[test]
 fn ordinary_successes_are_sampled_and_failures_are_not() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let events = Events::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
+    let events = EventLog::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
 
     for at in 0..1_000 {
         events.emit(&answered(&format!("good-{at}"), 200));
@@ -115,7 +115,7 @@
 /// The lines of a few events as a proxy writes them.
 fn written(events: &[Event<'_>]) -> Vec<Line> {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let out = Events::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
+    let out = EventLog::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
     for it in events {
         out.emit(it);
     }
