--- a/src/proxy/control.rs
+++ b/src/proxy/admin.rs
@@ -20,8 +20,8 @@
         ingress, net,
         peer_link::Link,
         peer_server,
-        routes::Limits,
-        server::{self, Answer, answer, json},
+        routes::RequestLimits,
+        server::{self, FullResponse, json_response, response},
     },
 };
 
@@ -39,7 +39,7 @@
 
 impl Proxy {
     /// Opens all listeners and serves them.
-    pub(super) fn listen(self: &Rc<Self>) -> Result<(), Error> {
+    pub(super) fn start_listeners(self: &Rc<Self>) -> Result<(), Error> {
         let settings = Rc::clone(&self.settings.borrow());
         let open = |address| net::listen(address).map_err(|it| Error::io(format!("listening on {address}"), it));
         let callers = open(settings.callers)?;
@@ -50,19 +50,19 @@
 
         let proxy = Rc::clone(self);
         let limits = Rc::clone(self);
-        let limits = move || limits.config.borrow().as_ref().map_or_else(Limits::default, |it| it.limits);
+        let limits = move || limits.config.borrow().as_ref().map_or_else(RequestLimits::default, |it| it.limits);
         spawn_local(server::http1(callers, limits, move |req| ingress::handle_request(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         spawn_local(server::http2(peers, move |req| peer_server::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
         let handle = move |req| announce(Rc::clone(&proxy), req);
-        spawn_local(server::http1(announcements, Limits::default, handle));
+        spawn_local(server::http1(announcements, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
         let handle = move |_| std::future::ready(proxy.readiness());
-        spawn_local(server::http1(readiness, Limits::default, handle));
+        spawn_local(server::http1(readiness, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
         let handle = move |req| std::future::ready(proxy.observe(&req));
-        spawn_local(server::http1(metrics, Limits::default, handle));
+        spawn_local(server::http1(metrics, RequestLimits::default, handle));
         Ok(())
     }
 
@@ -70,14 +70,14 @@
     pub(super) fn start_tasks(self: &Rc<Self>) {
         spawn_local(Rc::clone(self).read_initial_config());
         spawn_local(Rc::clone(self).follow_config());
-        spawn_local(Rc::clone(self).read_first_quarantine());
+        spawn_local(Rc::clone(self).load_quarantine());
         spawn_local(Rc::clone(self).join_fleet());
         spawn_local(Rc::clone(self).republish_after_restore());
         spawn_local(Rc::clone(self).announce_changes());
         spawn_local(Rc::clone(self).maintain_links());
         spawn_local(Rc::clone(self).run_anti_entropy());
         spawn_local(Rc::clone(self).announce_versions());
-        spawn_local(Rc::clone(self).relay_cases());
+        spawn_local(Rc::clone(self).gossip_cases());
         spawn_local(Rc::clone(self).find_endpoint());
         spawn_local(Rc::clone(self).tell_slots());
     }
@@ -92,15 +92,15 @@
         }
     }
 
-    fn readiness(&self) -> Answer {
+    fn readiness(&self) -> FullResponse {
         if self.is_ready() {
-            answer(StatusCode::OK, Bytes::new())
+            response(StatusCode::OK, Bytes::new())
         } else {
-            answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
+            response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new())
         }
     }
 
-    fn observe(&self, req: &Request<Incoming>) -> Answer {
+    fn observe(&self, req: &Request<Incoming>) -> FullResponse {
         match req.uri().path() {
             "/metrics" => {
                 let (running, waiting) = self.guard.load();
@@ -113,10 +113,10 @@
                 for (on, millis) in self.guard.slot_time_ms() {
                     metrics::counter!("jayreach_slot_milliseconds_total", "use" => on).absolute(millis);
                 }
-                answer(StatusCode::OK, self.metrics.render())
+                response(StatusCode::OK, self.metrics.render())
             }
-            "/status" => json(StatusCode::OK, self.status()),
-            _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
+            "/status" => json_response(StatusCode::OK, self.status()),
+            _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         }
     }
 
@@ -135,7 +135,7 @@
             "row": row,
             "running": running,
             "waiting": waiting,
-            "requests": self.requests.get(),
+            "requests": self.open_requests.get(),
             "watching": self.watching.get(),
             "confirmed_ms": self.confirmed_ms(),
             "peers": peers,
@@ -193,15 +193,15 @@
 }
 
 /// Answers a call of the VM's endpoint.
-async fn announce(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+async fn announce(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
     let Some(call) = platform::announce_call(&head.method, head.uri.path()) else {
         return match head.method {
             Method::GET => proxy.observe(&Request::from_parts(head, body)),
-            _ => answer(StatusCode::NOT_FOUND, Bytes::new()),
+            _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         };
     };
-    let body = match client::collect(body, ANNOUNCEMENT_LIMIT).await {
+    let body = match client::collect_body(body, ANNOUNCEMENT_LIMIT).await {
         Ok(it) => it,
         Err(error) => return skip(&proxy, "", &error.to_string()),
     };
@@ -213,14 +213,14 @@
         },
         AnnounceCall::Deregister(id) => {
             proxy.guard.handle_deregistration(platform::deregistered(&id, &body, now));
-            json(StatusCode::OK, "{}")
+            json_response(StatusCode::OK, "{}")
         }
     }
 }
 
 impl Proxy {
     /// Takes in a heartbeat, if it tells of the endpoint beside this proxy.
-    fn take_heartbeat(self: &Rc<Self>, it: Announcement) -> Answer {
+    fn take_heartbeat(self: &Rc<Self>, it: Announcement) -> FullResponse {
         let settings = Rc::clone(&self.settings.borrow());
         if it.service != settings.service || it.address != settings.endpoint {
             let why = format!("this VM's endpoint is {} of {}", settings.endpoint, settings.service);
@@ -230,12 +230,12 @@
             let proxy = Rc::clone(self);
             spawn_local(async move { proxy.ask_health().await });
         }
-        json(StatusCode::OK, "{}")
+        json_response(StatusCode::OK, "{}")
     }
 }
 
 /// Refuses an announcement that can't be used.
-fn skip(proxy: &Proxy, id: &str, why: &str) -> Answer {
-    proxy.tell_skipped("announcement", id, why);
-    answer(StatusCode::BAD_REQUEST, format!("{why}\n"))
+fn skip(proxy: &Proxy, id: &str, why: &str) -> FullResponse {
+    proxy.report_skipped_entry("announcement", id, why);
+    response(StatusCode::BAD_REQUEST, format!("{why}\n"))
 }
--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -29,7 +29,7 @@
     /// Follows the configuration for ever: at the store when it is this proxy's turn, else as others tell it.
     pub(super) async fn follow_config(self: Rc<Self>) {
         let start = clock::now();
-        while !self.joined.get() && clock::now() < start + JOIN_WAIT {
+        while !self.members_loaded.get() && clock::now() < start + JOIN_WAIT {
             sleep(LOOK_EVERY / 4).await;
         }
         loop {
@@ -74,7 +74,7 @@
 
     /// How long ago anyone had the store's answer that the configuration in force is the newest, as far as known.
     pub(super) fn confirmed_ago(&self) -> Option<Duration> {
-        self.confirmed.get().map(|it| clock::now().saturating_duration_since(it))
+        self.config_confirmed_at.get().map(|it| clock::now().saturating_duration_since(it))
     }
 
     /// [`Self::confirmed_ago`] for people.
@@ -85,7 +85,7 @@
     /// Takes in how long ago someone had the store's answer.
     pub(super) fn record_confirmation(&self, ago: Duration) {
         let at = clock::now().checked_sub(ago);
-        self.confirmed.set(self.confirmed.get().max(at));
+        self.config_confirmed_at.set(self.config_confirmed_at.get().max(at));
     }
 
     /// Follows the configuration at the store while it is this proxy's turn.
@@ -132,7 +132,7 @@
 
     /// The store answers this watcher.
     fn regained_store(&self) {
-        self.store_silent.set(false);
+        self.store_unreachable.set(false);
         let mut substitution = self.substitution.get();
         substitution.store_answered();
         self.substitution.set(substitution);
@@ -141,7 +141,7 @@
     /// The store gives this watcher no answer. All watchers, and only they, may have lost their way to it: another is asked
     /// to watch at once, since the others would notice only when the last confirmation has grown old.
     fn lost_store(self: &Rc<Self>) {
-        self.store_silent.set(true);
+        self.store_unreachable.set(true);
         let mut substitution = self.substitution.get();
         if substitution.should_request_substitute(clock::now()) {
             spawn_local(Rc::clone(self).ask_for_substitute());
@@ -164,7 +164,7 @@
     /// Watches in the place of a peer that lost its way to the store; false if this proxy has lost it, too.
     pub(super) fn start_substituting(&self) -> bool {
         if self.watching.get() {
-            return !self.store_silent.get();
+            return !self.store_unreachable.get();
         }
         let mut substitution = self.substitution.get();
         substitution.start_substituting(clock::now());
@@ -174,7 +174,7 @@
 
     fn take_config(&self, object: ConfigObject) -> Position {
         match object.config {
-            Some(Ok(it)) => self.put_in_force(it, "store"),
+            Some(Ok(it)) => self.activate_config(it, "store"),
             Some(Err(error)) => {
                 self.events.emit(&Event::ConfigRefused { version: 0, place: "all of it", why: &error.to_string() });
             }
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -84,7 +84,14 @@
         told_ms_ago: u128,
     },
     /// An attempt at an endpoint ended otherwise than well.
-    Failed { request: &'a str, fingerprint: Fingerprint, guard: &'a str, attempt: u32, why: Failure, took_ms: u128 },
+    Failed {
+        request: &'a str,
+        fingerprint: Fingerprint,
+        guard: &'a str,
+        attempt: u32,
+        why: AttemptFailure,
+        took_ms: u128,
+    },
     /// The endpoint ended while it had this work, and `running` pieces of work in all.
     EndedUnder {
         endpoint: &'a str,
@@ -101,14 +108,14 @@
     /// The caller left before its answer.
     Cancelled { request: &'a str, route: &'a str, after_ms: u128, attempts: u32 },
     /// A request has its answer.
-    Answered(Answered<'a>),
+    Answered(AnsweredRequest<'a>),
     /// Lines that were left out since the last such line.
     Dropped { ordinary: u64, full: u64 },
 }
 
 /// How a request ended.
 #[derive(Debug, Serialize)]
-pub struct Answered<'a> {
+pub struct AnsweredRequest<'a> {
     /// The caller's attempt.
     pub request: &'a str,
     /// Its route.
@@ -139,7 +146,7 @@
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Failure {
+pub enum AttemptFailure {
     /// The endpoint's own answer says so.
     Status(u16),
     /// It did not run.
@@ -165,7 +172,7 @@
 
 /// Where the lines go.
 #[derive(Debug)]
-pub struct Events {
+pub struct EventLog {
     /// Names this process in every line.
     proxy: ProxyName,
     lines: Sender<Vec<u8>>,
@@ -175,7 +182,7 @@
     dropped: RefCell<(u64, u64)>,
 }
 
-impl Events {
+impl EventLog {
     /// Starts the writer, which ends with this.
     pub fn start(proxy: ProxyName, out: impl Write + Send + 'static) -> io::Result<Self> {
         let (lines, rx) = bounded(QUEUE);
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -45,7 +45,7 @@
 impl Proxy {
     /// What of this proxy changes often.
     fn current(&self) -> ProxyStatus {
-        ProxyStatus { version: self.version(), revision: self.turns.get(), standing: self.guard.standing() }
+        ProxyStatus { version: self.version(), revision: self.endpoint_changes.get(), standing: self.guard.standing() }
     }
 
     /// [`Self::current`] with whose it is.
@@ -169,13 +169,13 @@
         loop {
             tokio::select! {
                 () = self.guard.row_changed.notified() => {
-                    self.turns.set(self.turns.get() + 1);
+                    self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     let endpoint = self.guard.endpoint_row();
                     self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
                     self.request_hello_to_all();
                 }
                 () = self.guard.standing_changed.notified() => {
-                    self.turns.set(self.turns.get() + 1);
+                    self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     self.links.borrow().iter().for_each(|it| it.1.request_status_update());
                 }
             }
@@ -221,7 +221,7 @@
             return;
         };
         self.take_summary(theirs, link);
-        self.even_out_cases(theirs.cases_digest, link).await;
+        self.sync_cases(theirs.cases_digest, link).await;
         if theirs.digest == self.directory.borrow().digest() {
             return;
         }
@@ -296,7 +296,7 @@
     /// Fetches the configuration from a peer that has a newer one.
     pub(super) fn fetch_config(self: &Rc<Self>, link: &Rc<Link>) {
         // Many messages tell of a new version; one fetch is enough.
-        if self.fetching.replace(true) {
+        if self.fetching_config.replace(true) {
             return;
         }
         let (proxy, link) = (Rc::clone(self), Rc::clone(link));
@@ -305,9 +305,9 @@
             if let Some(Some(it)) =
                 link.call_within::<_, Option<ParsedConfig>>(CONFIG_TIMEOUT, path::CONFIG, &known).await
             {
-                proxy.put_in_force(it, "peer");
+                proxy.activate_config(it, "peer");
             }
-            proxy.fetching.set(false);
+            proxy.fetching_config.set(false);
         });
     }
 }
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -33,7 +33,7 @@
         clock,
         directory::{EndpointRow, Incarnation},
         endpoint::EndpointPool,
-        events::Events,
+        events::EventLog,
         guard::ledger::{FailedCallId, GrantEntry, GrantLedger},
         message::{Grant, GrantRefusal},
         routes::{RouteName, ServiceName},
@@ -188,7 +188,7 @@
 /// The guard of this VM's endpoint.
 pub struct Guard {
     announce_every: Duration,
-    events: Rc<Events>,
+    events: Rc<EventLog>,
     state: RefCell<State>,
     /// Some run ended.
     run_ended: Notify,
@@ -206,7 +206,7 @@
         incarnation: Incarnation,
         announce_every: Duration,
         retry_budget: RetryBudgetConfig,
-        events: Rc<Events>,
+        events: Rc<EventLog>,
     ) -> Self {
         Self {
             announce_every,
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -27,13 +27,13 @@
     proxy::{
         Proxy, client, clock,
         directory::ProxyName,
-        events::{Answered, Event},
+        events::{AnsweredRequest, Event},
         guard::ReservationContext,
         headers,
         message::{AttemptKind, Grant, HttpContent, ReserveRequest},
         peer_link::Link,
-        routes::{Config, Repeat, Route, RouteName, ServiceName},
-        server::{Answer, answer},
+        routes::{Config, Idempotency, Route, RouteName, ServiceName},
+        server::{FullResponse, response},
     },
 };
 
@@ -103,7 +103,7 @@
     }
 
     fn idempotent(&self) -> bool {
-        self.route().repeat == Repeat::Idempotent
+        self.route().idempotency == Idempotency::Idempotent
     }
 }
 
@@ -153,19 +153,19 @@
 }
 
 /// Serves one request of a caller.
-pub(super) async fn handle_request(proxy: Rc<Proxy>, req: Request<Incoming>) -> Answer {
+pub(super) async fn handle_request(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let arrived = clock::now();
     let (head, body) = req.into_parts();
     let id: Box<str> = platform::request_id(&head.headers).unwrap_or("").into();
     let rejected = |status: StatusCode, why: &str| {
         proxy.events.emit(&Event::Rejected { request: &id, status: status.as_u16(), why });
         metrics::counter!("jayreach_rejected_total", "status" => status.as_u16().to_string()).increment(1);
-        finish(&proxy, answer(status, format!("{why}\n")))
+        finish(&proxy, response(status, format!("{why}\n")))
     };
     let Some(config) = proxy.config.borrow().clone() else {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"), 0);
     };
-    if proxy.takes_no_more() {
+    if proxy.refuses_new_requests() {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "this proxy stops"), 0);
     }
     let host = head.headers.get(HOST).and_then(|it| it.to_str().ok()).or(head.uri.host());
@@ -176,21 +176,21 @@
     let Some(route) = config.route(host, head.uri.path()) else {
         return rejected(StatusCode::NOT_FOUND, "no route");
     };
-    if !route.is_understood() {
+    if !route.is_valid() {
         return come_back(rejected(StatusCode::SERVICE_UNAVAILABLE, "the route's terms aren't understood"), route.rank);
     }
     let at = config.routes().iter().position(|it| std::ptr::eq(it, route)).expect("the route is one of them");
-    let body = match timeout(
-        config.limits.head_time.max(route.timeout),
-        client::collect(body, config.limits.body_bytes),
-    )
-    .await
-    {
-        Ok(Ok(it)) => it,
-        Ok(Err(error)) if client::too_long(&error) => return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long"),
-        Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
-        Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
-    };
+    let body =
+        match timeout(config.limits.head_time.max(route.timeout), client::collect_body(body, config.limits.body_bytes))
+            .await
+        {
+            Ok(Ok(it)) => it,
+            Ok(Err(error)) if client::is_body_too_long(&error) => {
+                return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+            }
+            Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
+            Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
+        };
     let caller_deadline = arrived + platform::deadline(&head.headers).unwrap_or(route.timeout);
     let mut passed_on = headers::end_to_end(&head.headers);
     platform::set_caller_service(&mut passed_on, &proxy.settings.borrow().service);
@@ -222,7 +222,7 @@
     let cancelled = Cancelled { proxy: &proxy, job: &job, answered: Cell::new(false) };
     let verdict = tokio::select! {
         it = proxy.serve(&job) => it,
-        () = proxy.last_call() => job.without_place(NoPlace::Full),
+        () = proxy.final_responses_due() => job.without_place(NoPlace::Full),
     };
     cancelled.answered.set(true);
     proxy.tell(&job, verdict)
@@ -311,14 +311,14 @@
     }
 
     /// The one answer to a request.
-    fn tell(&self, job: &Job, verdict: Verdict) -> Answer {
+    fn tell(&self, job: &Job, verdict: Verdict) -> FullResponse {
         let (resp, outcome) = match verdict {
             Verdict::Answer { status, content } => (endpoint_answer(status, content), "answered"),
             Verdict::NotRun(NoPlace::NoEndpoint) => (self.refuse(job, "no endpoint\n"), "no-endpoint"),
             Verdict::NotRun(NoPlace::Full) => (self.refuse(job, "no free place in time\n"), "full"),
             Verdict::NotRun(NoPlace::Quarantined) => (self.refuse_quarantined(job), "quarantined"),
-            Verdict::Unknown => (answer(StatusCode::BAD_GATEWAY, "it may have run\n"), "unknown"),
-            Verdict::OutOfTime => (answer(StatusCode::GATEWAY_TIMEOUT, "out of time\n"), "timeout"),
+            Verdict::Unknown => (response(StatusCode::BAD_GATEWAY, "it may have run\n"), "unknown"),
+            Verdict::OutOfTime => (response(StatusCode::GATEWAY_TIMEOUT, "out of time\n"), "timeout"),
         };
         let took = clock::now().saturating_duration_since(job.arrived);
         let route = job.route();
@@ -327,7 +327,7 @@
         {
             self.guard.record_failed_call(parents);
         }
-        self.events.emit(&Event::Answered(Answered {
+        self.events.emit(&Event::Answered(AnsweredRequest {
             request: &job.request,
             route: &route.name,
             version: job.config.version,
@@ -348,15 +348,15 @@
     }
 
     /// Refuses a request that is held back; it may come back for its next trial.
-    fn refuse_quarantined(&self, job: &Job) -> Answer {
-        let mut resp = answer(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
+    fn refuse_quarantined(&self, job: &Job) -> FullResponse {
+        let mut resp = response(StatusCode::SERVICE_UNAVAILABLE, "held back: endpoints ended under it\n");
         let (name, value) = platform::retry_after(self.guard.time_to_next_trial(job.fingerprint).unwrap_or(NO_TRIAL));
         resp.headers_mut().insert(name, value);
         resp
     }
 
-    fn refuse(&self, job: &Job, why: &'static str) -> Answer {
-        come_back(answer(StatusCode::SERVICE_UNAVAILABLE, why), job.route().rank)
+    fn refuse(&self, job: &Job, why: &'static str) -> FullResponse {
+        come_back(response(StatusCode::SERVICE_UNAVAILABLE, why), job.route().rank)
     }
 }
 
@@ -392,7 +392,7 @@
     }
 }
 
-fn endpoint_answer(status: u16, content: HttpContent) -> Answer {
+fn endpoint_answer(status: u16, content: HttpContent) -> FullResponse {
     let mut resp = Response::new(Full::new(Bytes::new()));
     *resp.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     *resp.headers_mut() = content.headers();
@@ -401,7 +401,7 @@
 }
 
 /// Tells a refused caller when to come back: later for lower ranks, and spread.
-fn come_back(mut resp: Answer, rank: u32) -> Answer {
+fn come_back(mut resp: FullResponse, rank: u32) -> FullResponse {
     let spread = 1.0 + rand::rng().random_range(-COME_BACK_SPREAD..COME_BACK_SPREAD);
     let pause = COME_BACK.mul_f64(spread * f64::from(rank.min(4) + 1));
     let (name, value) = platform::retry_after(pause);
@@ -410,7 +410,7 @@
 }
 
 /// Connections end while the process stops.
-fn finish(proxy: &Proxy, mut resp: Answer) -> Answer {
+fn finish(proxy: &Proxy, mut resp: FullResponse) -> FullResponse {
     if proxy.is_stopping() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/src/proxy/ingress/reserve.rs
+++ b/src/proxy/ingress/reserve.rs
@@ -103,7 +103,7 @@
         let give_up = self.stop.get().map_or(job.give_up, |it| job.give_up.min(it.answer_deadline()));
         let timing = WorkTiming {
             arrived: job.arrived,
-            target_latency: route.goal,
+            target_latency: route.target_latency,
             deadline: give_up,
             is_nested_call: job.is_call(),
         };
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -54,7 +54,7 @@
                 backoff.pause_after_failure(&error).await;
             }
             backoff.record_answer();
-            self.write_all_down();
+            self.store_held_cases();
         }
     }
 
@@ -91,10 +91,10 @@
 
     fn take_list(&self, list: Listing<PresenceObject>) {
         for it in &list.skipped {
-            self.tell_skipped("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.why);
         }
         // An empty one may be older than all the fleet.
-        self.joined.set(self.joined.get() || !list.objects.is_empty());
+        self.members_loaded.set(self.members_loaded.get() || !list.objects.is_empty());
         let listed = list.objects.into_iter().filter(|it| it.name != self.name);
         self.directory.borrow_mut().seed_from_store(listed, clock::now());
         self.members_changed.notify_one();
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -3,17 +3,17 @@
 //! Everything runs on one thread, since the VM has a fraction of a core. Decisions are in
 //! [`decide`](crate::decide); this module and its parts do input and output and call them.
 
+mod admin;
 mod backoff;
 mod client;
 mod clock;
 mod config_watch;
-mod control;
 pub mod directory;
 mod endpoint;
 pub mod events;
 mod gossip;
 pub mod guard;
-mod head;
+mod header_timeout;
 mod headers;
 mod ingress;
 mod join;
@@ -22,7 +22,7 @@
 mod net;
 mod peer_link;
 mod peer_server;
-mod quarantine;
+mod quarantine_sync;
 pub mod routes;
 mod server;
 pub mod settings;
@@ -52,7 +52,7 @@
     platform::{ConfigFinding, ParsedConfig, Store},
     proxy::{
         directory::{Directory, GuardedService, ProxyName, Row},
-        events::{Event, Events},
+        events::{Event, EventLog},
         guard::Guard,
         ingress::IngressState,
         link_set::RecentServices,
@@ -73,22 +73,22 @@
     started: Instant,
     settings_path: PathBuf,
     settings: RefCell<Rc<Settings>>,
-    events: Rc<Events>,
+    events: Rc<EventLog>,
     store: Store,
     guard: Rc<Guard>,
     /// The configuration in force; its version never goes down.
     config: RefCell<Option<Rc<Config>>>,
     /// What of it wasn't understood.
-    findings: RefCell<Vec<ConfigFinding>>,
+    config_findings: RefCell<Vec<ConfigFinding>>,
     config_changed: Notify,
     /// A configuration is being fetched from a peer.
-    fetching: Cell<bool>,
+    fetching_config: Cell<bool>,
     /// When someone last had the store's answer that the configuration in force is the newest, as far as known.
-    confirmed: Cell<Option<Instant>>,
+    config_confirmed_at: Cell<Option<Instant>>,
     /// This proxy watches the store for the others.
     watching: Cell<bool>,
     /// The store gave the last watch, or the read before it, no answer.
-    store_silent: Cell<bool>,
+    store_unreachable: Cell<bool>,
     substitution: Cell<WatchSubstitution>,
     directory: RefCell<Directory>,
     /// Some row changed, or a proxy joined or left.
@@ -97,16 +97,16 @@
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
     needs: RefCell<RecentServices>,
     /// The store's list of proxies was taken in.
-    joined: Cell<bool>,
+    members_loaded: Cell<bool>,
     ingress: RefCell<IngressState>,
     /// See [`directory::ProxyStatus::revision`].
-    turns: Cell<u64>,
+    endpoint_changes: Cell<u64>,
     /// Requests of callers that have no answer yet.
-    requests: Cell<usize>,
+    open_requests: Cell<usize>,
     /// Set by SIGTERM.
     stop: Cell<Option<Shutdown>>,
     /// `stop` was set.
-    stops: Notify,
+    stop_requested: Notify,
     metrics: PrometheusHandle,
 }
 
@@ -125,20 +125,20 @@
 
 async fn run_here(path: &Path) -> Result<(), Error> {
     // Before all else: a signal that finds no handler ends the process.
-    let signals = Signals::take().map_err(|it| Error::io("taking signals", it))?;
+    let signals = Signals::register().map_err(|it| Error::io("taking signals", it))?;
     let settings = Settings::load(path)?;
-    let events =
-        Events::start(settings.name.clone(), io::stdout()).map_err(|it| Error::io("starting the event writer", it))?;
+    let events = EventLog::start(settings.name.clone(), io::stdout())
+        .map_err(|it| Error::io("starting the event writer", it))?;
     let proxy = Rc::new(Proxy::new(settings, path, Rc::new(events))?);
     proxy.events.emit(&Event::Started { version: env!("CARGO_PKG_VERSION") });
-    proxy.listen()?;
+    proxy.start_listeners()?;
     proxy.start_tasks();
-    stop::wait(&proxy, signals).await;
+    stop::run_until_stopped(&proxy, signals).await;
     Ok(())
 }
 
 impl Proxy {
-    fn new(settings: Settings, path: &Path, events: Rc<Events>) -> Result<Self, Error> {
+    fn new(settings: Settings, path: &Path, events: Rc<EventLog>) -> Result<Self, Error> {
         let now = clock::now();
         let retry_budget = RetryBudgetConfig { ratio: settings.retry_ratio, slack: settings.retry_slack };
         Ok(Self {
@@ -146,27 +146,27 @@
             started: now,
             settings_path: path.into(),
             store: Store::new(settings.store),
-            guard: Rc::new(Guard::new(rand::random(), settings.announce_every, retry_budget, Rc::clone(&events))),
+            guard: Rc::new(Guard::new(rand::random(), settings.announce_interval, retry_budget, Rc::clone(&events))),
             events,
             config: RefCell::default(),
-            findings: RefCell::default(),
+            config_findings: RefCell::default(),
             config_changed: Notify::new(),
-            fetching: Cell::new(false),
-            confirmed: Cell::new(None),
+            fetching_config: Cell::new(false),
+            config_confirmed_at: Cell::new(None),
             watching: Cell::new(false),
-            store_silent: Cell::new(false),
+            store_unreachable: Cell::new(false),
             substitution: Cell::default(),
             directory: RefCell::new(Directory::new(first_row(&settings), now)),
             settings: RefCell::new(Rc::new(settings)),
             members_changed: Notify::new(),
             links: RefCell::default(),
             needs: RefCell::default(),
-            joined: Cell::new(false),
+            members_loaded: Cell::new(false),
             ingress: RefCell::default(),
-            turns: Cell::new(0),
-            requests: Cell::new(0),
+            endpoint_changes: Cell::new(0),
+            open_requests: Cell::new(0),
             stop: Cell::new(None),
-            stops: Notify::new(),
+            stop_requested: Notify::new(),
             metrics: metrics_recorder()?,
         })
     }
@@ -177,7 +177,7 @@
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    fn put_in_force(&self, parsed: ParsedConfig, source: &str) {
+    fn activate_config(&self, parsed: ParsedConfig, source: &str) {
         let ParsedConfig { config, findings } = parsed;
         let before = self.version();
         if config.version <= before {
@@ -186,7 +186,7 @@
         for it in &findings {
             self.events.emit(&Event::ConfigRefused { version: config.version, place: &it.place, why: &it.problem });
         }
-        *self.findings.borrow_mut() = findings;
+        *self.config_findings.borrow_mut() = findings;
         self.events.emit(&Event::Config {
             version: config.version,
             before,
@@ -210,7 +210,7 @@
     }
 
     /// Says that something which another writer left or sent, in the store or as an announcement, can't be used.
-    fn tell_skipped(&self, of: &'static str, entry: &str, why: &str) {
+    fn report_skipped_entry(&self, of: &'static str, entry: &str, why: &str) {
         self.events.emit(&Event::EntrySkipped { entry, why });
         metrics::counter!("jayreach_entries_skipped_total", "of" => of).increment(1);
     }
@@ -220,7 +220,7 @@
     }
 
     /// Whether new requests are refused at once: what begins now could not be finished.
-    fn takes_no_more(&self) -> bool {
+    fn refuses_new_requests(&self) -> bool {
         self.stop.get().is_some_and(|it| it.stage() != ShutdownStage::HandingOver)
     }
 
@@ -231,7 +231,7 @@
 
     /// Counts a request until the result is dropped.
     fn count_request(self: &Rc<Self>) -> CountedRequest {
-        self.requests.set(self.requests.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         CountedRequest(Rc::clone(self))
     }
 }
@@ -253,7 +253,7 @@
 
 impl Drop for CountedRequest {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -17,10 +17,10 @@
     time::sleep,
 };
 
-use crate::proxy::{head::TimedHeads, net, net::LocalExecutor, routes::Limits};
+use crate::proxy::{header_timeout::HeaderTimeoutStream, net, net::LocalExecutor, routes::RequestLimits};
 
 /// An answer with its whole body.
-pub(super) type Answer = Response<Full<Bytes>>;
+pub(super) type FullResponse = Response<Full<Bytes>>;
 
 /// The pause after `accept` failed, for instance for want of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -52,16 +52,16 @@
 }
 
 /// Serves HTTP/1.1 for ever. A caller that leaves ends its handler.
-pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> Limits + 'static, handle: F)
+pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> RequestLimits + 'static, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
-    A: Future<Output = Answer> + 'static,
+    A: Future<Output = FullResponse> + 'static,
 {
     let handle = Rc::new(handle);
     accept(listener, move |stream, from| {
         let handle = Rc::clone(&handle);
         let limits = limits();
-        let (stream, heads) = TimedHeads::new(stream, limits.head_time);
+        let (stream, heads) = HeaderTimeoutStream::new(stream, limits.head_time);
         let service = service_fn(move |req| {
             let serving = heads.serving();
             let answer = handle(req);
@@ -90,7 +90,7 @@
 pub(super) async fn http2<F, A>(listener: TcpListener, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
-    A: Future<Output = Answer> + 'static,
+    A: Future<Output = FullResponse> + 'static,
 {
     let handle = Rc::new(handle);
     accept(listener, move |stream, from| {
@@ -116,15 +116,15 @@
 }
 
 /// An answer of our own.
-pub(super) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+pub(super) fn response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
     let mut resp = Response::new(Full::new(body.into()));
     *resp.status_mut() = status;
     resp
 }
 
 /// An answer of our own with JSON.
-pub(super) fn json(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut resp = answer(status, body);
+pub(super) fn json_response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
+    let mut resp = response(status, body);
     resp.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     resp
 }
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -25,13 +25,13 @@
 
 impl Signals {
     /// Handles them from now on.
-    pub(super) fn take() -> io::Result<Self> {
+    pub(super) fn register() -> io::Result<Self> {
         Ok(Self { term: signal(SignalKind::terminate())?, hup: signal(SignalKind::hangup())? })
     }
 }
 
 /// Serves until SIGTERM, then finishes what is under way.
-pub(super) async fn wait(proxy: &Rc<Proxy>, signals: Signals) {
+pub(super) async fn run_until_stopped(proxy: &Rc<Proxy>, signals: Signals) {
     let Signals { mut term, mut hup } = signals;
     let mut look = interval(SETTINGS_EVERY);
     loop {
@@ -69,9 +69,9 @@
     }
 
     async fn finish(self: &Rc<Self>) {
-        let stop = Shutdown::new(clock::now(), self.settings.borrow().grace);
+        let stop = Shutdown::new(clock::now(), self.settings.borrow().shutdown_grace);
         self.stop.set(Some(stop));
-        self.stops.notify_waiters();
+        self.stop_requested.notify_waiters();
         self.tell_stopping("SIGTERM");
         let removal = self.leave_fleet();
         let hand_over = async {
@@ -113,13 +113,13 @@
 
     /// Requests and runs that have no end yet.
     fn under_way(&self) -> usize {
-        self.requests.get() + self.guard.open_grants()
+        self.open_requests.get() + self.guard.open_grants()
     }
 
     /// Waits until a stopping process has to give its last answers.
-    pub(super) async fn last_call(&self) {
+    pub(super) async fn final_responses_due(&self) {
         while self.stop.get().is_none() {
-            self.stops.notified().await;
+            self.stop_requested.notified().await;
         }
         while let Some(left) = self.stop.get().and_then(|it| it.answer_deadline().checked_duration_since(clock::now()))
         {
