--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -62,7 +62,7 @@
     /// The VM's endpoint announced something new, or was found to be another.
     Endpoint { id: &'a str, born: Option<UnixMillis>, service: &'a str, phase: &'a str, sequence: u64, why: &'a str },
     /// The VM's endpoint became suspect, declining or clean.
-    EndpointStanding { endpoint: &'a str, standing: EndpointStanding, request: &'a str, why: &'a str },
+    Standing { endpoint: &'a str, standing: EndpointStanding, request: &'a str, why: &'a str },
     /// Where the time of the endpoint's slots went since the process began, in milliseconds.
     Slots { service: &'a str, slots: u32, uses: &'a [(&'static str, u64)] },
     /// A request could not be used.
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -199,7 +199,7 @@
         }
         drop(state);
         if turned {
-            self.events.emit(&Event::EndpointStanding { endpoint: &id.name, standing, request, why });
+            self.events.emit(&Event::Standing { endpoint: &id.name, standing, request, why });
             metrics::counter!("jayreach_standing_changes_total", "to" => standing.name()).increment(1);
             self.standing_changed.notify_one();
         }
