--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,89 +1,87 @@
-//! Admission to one endpoint: its slots, then a short queue by importance and deadline.
-//!
-//! The gate is at the guard, which sees all of the endpoint's work, so its count of slots in use
-//! is the truth (docs/DESIGN.md, admission).
+//! Admission control for one endpoint: a request takes a free slot, waits in a bounded queue ordered by
+//! importance and deadline, or is refused. This keeps an endpoint from running more than its slots.
 
 use std::time::{Duration, Instant};
 
 use crate::{targets::Importance, wire::Refusal};
 
-/// Names a waiter of a gate.
+/// Identifies a request in the queue of one [`AdmissionController`].
 pub type WaiterId = u64;
 
-/// How many waiters a gate holds for each of its slots.
+/// Queue capacity for each slot of the endpoint.
 const QUEUE_PER_SLOT: usize = 4;
-/// The share of a new service time in the running mean.
-const MEAN_SHARE: f64 = 0.1;
-/// By how many mean distances nearly all service times exceed their mean.
-const SPREADS: f64 = 2.5;
+/// Smoothing factor of the running means of service times.
+const SMOOTHING_FACTOR: f64 = 0.1;
+/// Mean absolute deviations above the mean that cover nearly all service times.
+const DEVIATIONS: f64 = 2.5;
 
-/// Work that asks to be admitted.
+/// A request that needs a slot of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Names it.
+    /// Identifies the request if it has to wait.
     pub id: WaiterId,
-    /// How much it matters.
+    /// Requests of higher importance run first.
     pub importance: Importance,
-    /// When its answer is due.
+    /// The time by which its answer is due.
     pub deadline: Instant,
 }
 
-/// What becomes of an arrival.
+/// The result of admission control for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It has a slot.
+    /// The request holds a slot and may run.
     Admit,
-    /// It waits; a [`Release`] will name it.
+    /// The request waits; a later [`WaiterDecision`] admits or refuses it.
     Queue,
-    /// It is refused and has not run.
+    /// The request is refused and has not run.
     Refuse(Refusal),
 }
 
-/// What becomes of a waiter.
+/// The decision on a request that was waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaiterDecision {
-    /// Which waiter.
+    /// The request that no longer waits.
     pub id: WaiterId,
-    /// `Admit` or `Refuse`.
+    /// `Admit` or `Refuse`, never `Queue`.
     pub decision: AdmissionDecision,
 }
 
-/// The gate of one endpoint.
+/// Slots and waiting queue of one endpoint.
 #[derive(Debug, Clone)]
 pub struct AdmissionController {
     slots: u16,
-    /// Never above the slots the endpoint had when the work was admitted.
+    /// Slots in use. It exceeds `slots` only after `slots` was lowered.
     running: u16,
-    /// Sorted: the first to run comes first. Never longer than the slots allow.
+    /// In the order in which the requests will run, at most [`Self::queue_limit`] long.
     queue: Vec<AdmissionRequest>,
-    /// The running mean of service times, in seconds; zero before the first.
+    /// Running mean of service times in seconds; zero before the first.
     mean: f64,
-    /// The running mean of their distance from it, in seconds.
-    spread: f64,
+    /// Running mean of the absolute deviation of service times from `mean`, in seconds.
+    deviation: f64,
 }
 
 impl AdmissionController {
-    /// A gate before an endpoint with `slots`.
+    /// Creates the controller of an idle endpoint with `slots` slots.
     pub fn new(slots: u16) -> Self {
-        Self { slots, running: 0, queue: Vec::new(), mean: 0.0, spread: 0.0 }
+        Self { slots, running: 0, queue: Vec::new(), mean: 0.0, deviation: 0.0 }
     }
 
-    /// Takes a new number of slots.
+    /// Changes the number of slots; running requests keep theirs.
     pub fn set_slots(&mut self, slots: u16) {
         self.slots = slots;
     }
 
-    /// Slots in use and work queued.
+    /// Number of running and queued requests.
     pub fn load(&self) -> u32 {
         u32::from(self.running) + self.queue.len() as u32
     }
 
-    /// Slots in use.
+    /// Number of slots in use.
     pub fn running(&self) -> u16 {
         self.running
     }
 
-    /// The lowest importance that would not be refused for the queue being full.
+    /// The lowest importance that a full queue would not refuse; 0 while the queue has room.
     pub fn min_importance(&self) -> Importance {
         if self.queue.len() < self.queue_limit() {
             return 0;
@@ -91,85 +89,90 @@
         self.queue.last().map_or(0, |it| it.importance.saturating_add(1))
     }
 
-    /// Admits, queues or refuses work; also names the waiter whose place it took.
-    pub fn admit(&mut self, arrival: AdmissionRequest, now: Instant) -> (AdmissionDecision, Option<WaiterDecision>) {
+    /// Admits, queues or refuses a request. Also returns the refusal of the waiter that it evicted, if any.
+    pub fn admit(&mut self, req: AdmissionRequest, now: Instant) -> (AdmissionDecision, Option<WaiterDecision>) {
         if self.running < self.slots && self.queue.is_empty() {
             self.running += 1;
             return (AdmissionDecision::Admit, None);
         }
-        let at = self.queue.partition_point(|it| !runs_before(&arrival, it));
-        if now + self.expected(at) > arrival.deadline {
+        let at = self.queue.partition_point(|it| !runs_before(&req, it));
+        if now + self.expected_time(at) > req.deadline {
             return (AdmissionDecision::Refuse(Refusal::TooLate), None);
         }
         if at >= self.queue_limit() {
             return (AdmissionDecision::Refuse(Refusal::Overloaded), None);
         }
-        self.queue.insert(at, arrival);
+        self.queue.insert(at, req);
         let evicted = (self.queue.len() > self.queue_limit()).then(|| self.queue.pop()).flatten();
-        let release =
+        let eviction =
             evicted.map(|it| WaiterDecision { id: it.id, decision: AdmissionDecision::Refuse(Refusal::Overloaded) });
-        (AdmissionDecision::Queue, release)
+        (AdmissionDecision::Queue, eviction)
     }
 
-    /// Frees a slot after work that took `took`, and names the waiters that are decided by it.
+    /// Frees the slot of a request that ran for `took`, and decides on the waiters that can run now.
+    ///
+    /// # Panics
+    ///
+    /// If no slot is in use.
     pub fn release_slot(&mut self, took: Duration, now: Instant) -> Vec<WaiterDecision> {
-        assert!(self.running > 0, "only work that was admitted leaves");
+        assert!(self.running > 0, "a slot was released that is not in use");
         self.running -= 1;
-        self.learn(took);
+        self.record_service_time(took);
         self.admit_waiters(now)
     }
 
-    /// Takes a waiter out that gave up; false if it has been decided already.
+    /// Removes a waiter from the queue. Returns false if it has been admitted or refused already.
     pub fn cancel(&mut self, id: WaiterId) -> bool {
         let at = self.queue.iter().position(|it| it.id == id);
         at.map(|at| self.queue.remove(at)).is_some()
     }
 
-    /// Refuses all waiters, because the endpoint takes no new work.
+    /// Empties the queue and refuses every waiter with `refusal`.
     pub fn refuse_waiters(&mut self, refusal: Refusal) -> Vec<WaiterDecision> {
         let waiters = self.queue.drain(..);
         waiters.map(|it| WaiterDecision { id: it.id, decision: AdmissionDecision::Refuse(refusal) }).collect()
     }
 
-    /// Gives free slots to waiters; those that can't be in time are refused at once.
+    /// Gives free slots to waiters in queue order, and refuses those that would miss their deadline.
     pub fn admit_waiters(&mut self, now: Instant) -> Vec<WaiterDecision> {
-        let mut releases = Vec::new();
+        let mut decisions = Vec::new();
         while self.running < self.slots && !self.queue.is_empty() {
             let first = self.queue.remove(0);
-            let in_time = now + self.own_run() <= first.deadline;
+            let in_time = now + self.service_time_bound() <= first.deadline;
             let decision = if in_time { AdmissionDecision::Admit } else { AdmissionDecision::Refuse(Refusal::TooLate) };
             self.running += u16::from(in_time);
-            releases.push(WaiterDecision { id: first.id, decision });
+            decisions.push(WaiterDecision { id: first.id, decision });
         }
-        releases
+        decisions
     }
 
-    /// How long work at place `at` of the queue is expected to take, with its own run.
-    fn expected(&self, at: usize) -> Duration {
+    /// Expected time until a request at queue index `at` is answered: its wait and its service time.
+    fn expected_time(&self, at: usize) -> Duration {
         let rounds = (at + 1) as f64 / f64::from(self.slots.max(1));
-        Duration::from_secs_f64(rounds * self.mean) + self.own_run()
+        Duration::from_secs_f64(rounds * self.mean) + self.service_time_bound()
     }
 
-    /// How long nearly all work takes once it runs.
-    fn own_run(&self) -> Duration {
-        Duration::from_secs_f64(self.mean + SPREADS * self.spread)
+    /// Upper bound of nearly all service times.
+    fn service_time_bound(&self) -> Duration {
+        Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation)
     }
 
     fn queue_limit(&self) -> usize {
         usize::from(self.slots) * QUEUE_PER_SLOT
     }
 
-    fn learn(&mut self, took: Duration) {
+    fn record_service_time(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         if self.mean == 0.0 {
             self.mean = took;
             return;
         }
-        self.spread += ((took - self.mean).abs() - self.spread) * MEAN_SHARE;
-        self.mean += (took - self.mean) * MEAN_SHARE;
+        self.deviation += ((took - self.mean).abs() - self.deviation) * SMOOTHING_FACTOR;
+        self.mean += (took - self.mean) * SMOOTHING_FACTOR;
     }
 }
 
+/// Orders by importance, highest first, then by deadline, earliest first.
 fn runs_before(a: &AdmissionRequest, b: &AdmissionRequest) -> bool {
     (b.importance, a.deadline) < (a.importance, b.deadline)
 }
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -1,37 +1,38 @@
-//! The choice of an endpoint: the less loaded of two random ones, near ones first.
+//! Chooses the endpoint of a request: the less loaded of two random candidates, those in the same data centre first.
+//! Random pairs keep ingresses with the same view from sending all work to one endpoint.
 
 use rand::{Rng, RngExt as _};
 
-/// A suspect endpoint counts as this many times as loaded.
+/// Factor by which the load of a suspect endpoint is scaled.
 const SUSPECT_FACTOR: f32 = 4.0;
-/// A near endpoint is taken if its load per slot is below this.
-const NEAR_LIMIT: f32 = 0.8;
+/// Load per slot from which a near endpoint is no longer preferred to those of other data centres.
+const NEAR_LOAD_LIMIT: f32 = 0.8;
 
-/// An endpoint that may be chosen.
+/// What the choice considers of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Whether it is in the chooser's data centre.
+    /// Whether it is in the data centre of the ingress.
     pub near: bool,
-    /// Whether its guard doubts it.
+    /// Whether its guard reports it as suspect.
     pub suspect: bool,
-    /// Whether it must not be chosen while there are others.
+    /// Whether it is only chosen when all candidates are to be avoided.
     pub avoid: bool,
-    /// Work in flight from here and the load its guard last told.
+    /// Requests in flight from this ingress plus the load that its guard last reported.
     pub load: u32,
-    /// How much it takes at once.
+    /// Requests that it runs at once.
     pub slots: u16,
 }
 
-/// The chosen candidate's place in the list.
+/// Index into the list of candidates.
 pub type CandidateIndex = usize;
 
-/// Chooses among candidates; `None` if there is none.
+/// Chooses one of the candidates; `None` if the list is empty.
 ///
-/// Two are drawn among those that are near; if the better one is loaded, two are drawn among all.
-/// One to avoid is chosen only if all are to be avoided.
+/// The better of two near candidates is chosen if its load per slot is below a limit, otherwise the better of two
+/// from the whole list. Candidates to avoid are drawn only if there is no other.
 pub fn choose_endpoint(candidates: &[Candidate], rng: &mut impl Rng) -> Option<CandidateIndex> {
     let near = better_of_two(candidates, rng, |it| it.near && !it.avoid);
-    if let Some(at) = near.filter(|at| score(&candidates[*at]) < NEAR_LIMIT) {
+    if let Some(at) = near.filter(|at| score(&candidates[*at]) < NEAR_LOAD_LIMIT) {
         return Some(at);
     }
     better_of_two(candidates, rng, |it| !it.avoid).or_else(|| better_of_two(candidates, rng, |_| true))
@@ -49,12 +50,13 @@
     let first = rng.random_range(0..count);
     let second = if count == 1 { first } else { (first + rng.random_range(1..count)) % count };
     let (low, high) = (first.min(second), first.max(second));
-    let mut picked = candidates.iter().enumerate().filter(|(_, it)| allowed(it)).map(|(at, _)| at);
-    let a = picked.nth(low)?;
-    let b = if low == high { a } else { picked.nth(high - low - 1)? };
+    let mut indices = candidates.iter().enumerate().filter(|(_, it)| allowed(it)).map(|(at, _)| at);
+    let a = indices.nth(low)?;
+    let b = if low == high { a } else { indices.nth(high - low - 1)? };
     Some(if score(&candidates[b]) < score(&candidates[a]) { b } else { a })
 }
 
+/// Load per slot, scaled up for suspect endpoints; lower is better.
 fn score(candidate: &Candidate) -> f32 {
     let load = candidate.load as f32 / f32::from(candidate.slots.max(1));
     if candidate.suspect { (load + 0.25) * SUSPECT_FACTOR } else { load }
--- a/src/decide/class_retry_budget.rs
+++ b/src/decide/class_retry_budget.rs
@@ -1,35 +1,36 @@
-//! Retries as a share of a class's traffic, so that a stall of all endpoints starts no storm.
+//! Limits the retries of a class to a share of its first attempts, which prevents a retry storm when all
+//! endpoints stall.
 
-/// What each first attempt adds, in retries.
-const SHARE: f64 = 0.1;
-/// How many retries may be saved up.
-const LIMIT: f64 = 10.0;
+/// Retries that each first attempt adds to the budget.
+const RETRIES_PER_ATTEMPT: f64 = 0.1;
+/// Retries that the budget holds at most.
+const CAPACITY: f64 = 10.0;
 
 /// The retry budget of one class at one ingress.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRetryBudget {
-    /// In retries; from zero to `LIMIT`.
-    saved: f64,
+    /// Retries available, from zero to [`CAPACITY`].
+    balance: f64,
 }
 
 impl Default for ClassRetryBudget {
     fn default() -> Self {
-        Self { saved: LIMIT }
+        Self { balance: CAPACITY }
     }
 }
 
 impl ClassRetryBudget {
-    /// Counts a first attempt.
+    /// Adds the share that a first attempt earns.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + SHARE).min(LIMIT);
+        self.balance = (self.balance + RETRIES_PER_ATTEMPT).min(CAPACITY);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Spends one retry. Returns false, and spends nothing, if less than one is left.
     pub fn withdraw(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        if enough {
-            self.saved -= 1.0;
+        let available = self.balance >= 1.0;
+        if available {
+            self.balance -= 1.0;
         }
-        enough
+        available
     }
 }
