--- a/src/decide/detector.rs
+++ b/src/decide/detector.rs
@@ -1,98 +1,95 @@
-//! Gray failure: a sequential test (CUSUM of a log-likelihood ratio) on the endpoint's real work.
-//!
-//! The good hypothesis is the service's own recent baseline, so that a slow-down or an overload
-//! that all endpoints share is not held against one of them.
+//! Detects gray failures of an endpoint from the results of its requests, by a CUSUM test of the log-likelihood ratio.
+//! The null hypothesis follows the failure rate of the service's other endpoints, so that an overload of the whole
+//! service ejects no endpoint.
 
 use crate::targets::Weighs;
 
-/// The lowest failure rate that counts as the good hypothesis.
-const GOOD_RATE: f64 = 0.01;
-/// The highest failure rate that counts as the good hypothesis.
-const GOOD_RATE_LIMIT: f64 = 0.5;
-/// How far the bad hypothesis is from the good one, in shares of what is left.
-const BAD_SHARE: f64 = 0.4;
-/// The share of a new sample in the running failure rate.
-const RATE_SHARE: f64 = 0.1;
-/// How many times the baseline is the good hypothesis: the others' rates are estimates, and below
-/// the true rate the evidence of shared trouble would grow for ever.
+/// Lower bound of the healthy failure rate.
+const MIN_HEALTHY_RATE: f64 = 0.01;
+/// Upper bound of the healthy failure rate.
+const MAX_HEALTHY_RATE: f64 = 0.5;
+/// Position of the faulty failure rate between the healthy one (0) and certain failure (1).
+const FAULTY_RATE_OFFSET: f64 = 0.4;
+/// Smoothing factor of the running failure rate.
+const SMOOTHING_FACTOR: f64 = 0.1;
+/// Factor from the baseline to the healthy rate. The baseline is an estimate; if the healthy rate were below the true
+/// one, failures that all endpoints share would add up to an ejection.
 const BASELINE_MARGIN: f64 = 2.0;
-/// The levels of `failure_level` count from this power of two.
-const LEVELS: f64 = 11.0;
+/// The highest failure level, which stands for a rate of 1; each level below halves the rate.
+const MAX_LEVEL: f64 = 11.0;
 
-/// What one piece of work says of its endpoint.
+/// The result of one request, as evidence about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
-    /// A whole answer in time.
+    /// A complete answer in time.
     Good,
-    /// An error, or no whole answer in time.
+    /// An error, or no complete answer in time.
     Bad,
 }
 
-/// What the samples so far say.
+/// The state of the test after the samples so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// Nothing against it.
+    /// Less than half of the ejection threshold.
     Clear,
-    /// Something, but not enough.
+    /// At least half of the ejection threshold.
     Doubtful,
-    /// Enough.
+    /// The ejection threshold is reached.
     Bad,
 }
 
-/// The test on one endpoint.
+/// The sequential test of one endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailureDetector {
-    /// The evidence in nats; never below zero.
-    sum: f64,
-    /// The running failure rate, 0 to 1.
+    /// Evidence of a failure in nats, from zero to twice the threshold.
+    log_likelihood: f64,
+    /// Running failure rate, 0 to 1.
     rate: f64,
 }
 
 impl Default for FailureDetector {
     fn default() -> Self {
-        Self { sum: 0.0, rate: 0.0 }
+        Self { log_likelihood: 0.0, rate: 0.0 }
     }
 }
 
 impl FailureDetector {
-    /// Takes a sample in; `baseline` is the failure rate of the service's other endpoints, `limit`
-    /// how much evidence is enough, in nats.
-    pub fn record(&mut self, sample: Sample, baseline: f64, limit: f64) -> Evidence {
-        let good = (baseline * BASELINE_MARGIN).clamp(GOOD_RATE, GOOD_RATE_LIMIT);
-        let bad = good + (1.0 - good) * BAD_SHARE;
+    /// Adds a sample and returns the evidence so far. `baseline` is the failure rate of the service's other endpoints,
+    /// `threshold` the evidence in nats that ejects the endpoint.
+    pub fn record(&mut self, sample: Sample, baseline: f64, threshold: f64) -> Evidence {
+        let healthy = (baseline * BASELINE_MARGIN).clamp(MIN_HEALTHY_RATE, MAX_HEALTHY_RATE);
+        let faulty = healthy + (1.0 - healthy) * FAULTY_RATE_OFFSET;
         let (ratio, failed) = match sample {
-            Sample::Bad => (bad / good, 1.0),
-            Sample::Good => ((1.0 - bad) / (1.0 - good), 0.0),
+            Sample::Bad => (faulty / healthy, 1.0),
+            Sample::Good => ((1.0 - faulty) / (1.0 - healthy), 0.0),
         };
-        self.sum = (self.sum + ratio.ln()).clamp(0.0, 2.0 * limit);
-        self.rate += (failed - self.rate) * RATE_SHARE;
-        self.evidence(limit)
+        self.log_likelihood = (self.log_likelihood + ratio.ln()).clamp(0.0, 2.0 * threshold);
+        self.rate += (failed - self.rate) * SMOOTHING_FACTOR;
+        self.evidence(threshold)
     }
 
-    /// What the samples so far say.
-    fn evidence(&self, limit: f64) -> Evidence {
-        if self.sum >= limit {
+    fn evidence(&self, threshold: f64) -> Evidence {
+        if self.log_likelihood >= threshold {
             Evidence::Bad
-        } else if self.sum >= limit / 2.0 {
+        } else if self.log_likelihood >= threshold / 2.0 {
             Evidence::Doubtful
         } else {
             Evidence::Clear
         }
     }
 
-    /// The running failure rate, 0 to 1.
+    /// Exponentially weighted failure rate, 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.rate
     }
 
-    /// Begins anew, after a return to service.
+    /// Discards all evidence, for an endpoint that returns to service.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// How many nats of evidence eject an endpoint: the two points taken from the curve of detection
-/// time against false ejections (docs/MEASUREMENTS.md, gray failure).
+/// The evidence in nats that ejects an endpoint. A higher threshold causes fewer false ejections and slower detection.
 pub fn ejection_threshold(weighs: Weighs) -> f64 {
     match weighs {
         Weighs::DetectionTime => 11.0,
@@ -100,22 +97,22 @@
     }
 }
 
-/// A failure rate as the power of two that rows carry: 0 for none, n for about 2^(n-11).
+/// Rounds a failure rate to the logarithmic level that endpoint rows carry: 0 for none, `n` for about 2^(n-11).
 pub fn failure_level(rate: f64) -> u8 {
-    if rate <= 0.0 { 0 } else { (rate.log2() + LEVELS).round().clamp(0.0, LEVELS) as u8 }
+    if rate <= 0.0 { 0 } else { (rate.log2() + MAX_LEVEL).round().clamp(0.0, MAX_LEVEL) as u8 }
 }
 
-/// The failure rate of a level.
+/// The failure rate, 0 to 1, that a [`failure_level`] stands for.
 pub fn failure_rate_from_level(level: u8) -> f64 {
-    if level == 0 { 0.0 } else { (f64::from(level) - LEVELS).exp2() }
+    if level == 0 { 0.0 } else { (f64::from(level) - MAX_LEVEL).exp2() }
 }
 
-/// The baseline of a service: the median failure rate of the other endpoints; zero if there are none.
-pub fn median_failure_rate(others: &mut [u8]) -> f64 {
-    if others.is_empty() {
+/// The median failure rate, 0 to 1, of endpoints with these failure levels; zero if there are none. Reorders `levels`.
+pub fn median_failure_rate(levels: &mut [u8]) -> f64 {
+    if levels.is_empty() {
         return 0.0;
     }
-    let middle = (others.len() - 1) / 2;
-    let (_, median, _) = others.select_nth_unstable(middle);
+    let middle = (levels.len() - 1) / 2;
+    let (_, median, _) = levels.select_nth_unstable(middle);
     failure_rate_from_level(*median)
 }
--- a/src/decide/endpoint_health.rs
+++ b/src/decide/endpoint_health.rs
@@ -1,4 +1,5 @@
-//! An endpoint's standing at its guard: the chart, the evidence, hold-down and trial.
+//! The health of one endpoint at its guard: ejects the endpoint when its requests fail too often, and returns it to
+//! service after a hold-down and a trial, so that a flapping endpoint gets less and less work.
 
 use std::{
     sync::LazyLock,
@@ -17,44 +18,44 @@
 static CHART: LazyLock<Chart<EndpointState, EndpointEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/endpoint.toml")));
 
-/// What happens to an endpoint (charts/endpoint.toml).
+/// Inputs of the endpoint state chart in `charts/endpoint.toml`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointEvent {
-    /// It says it is not ready.
+    /// The endpoint announced that it is not ready.
     AnnouncedStarting,
-    /// It says it takes work.
+    /// The endpoint announced that it accepts work.
     AnnouncedServing,
-    /// It says it is leaving.
+    /// The endpoint announced that it is shutting down.
     AnnouncedLeaving,
-    /// It said nothing for too long.
+    /// The endpoint missed its heartbeats.
     Silent,
-    /// The evidence is gone.
+    /// The evidence is below half of the ejection threshold.
     EvidenceClear,
-    /// The evidence grows.
+    /// The evidence reached half of the ejection threshold.
     EvidenceDoubtful,
-    /// The evidence is complete.
+    /// The evidence reached the ejection threshold.
     EvidenceBad,
-    /// It was ejected for long enough.
+    /// The hold-down of the ejection has passed.
     HoldDownOver,
-    /// The trial went well.
+    /// Enough requests in a row succeeded during the trial.
     TrialPassed,
-    /// The trial failed.
+    /// A request failed during the trial.
     TrialFailed,
-    /// No idempotent work came to try it with.
+    /// The trial had no successful request for the length of the hold-down, because no idempotent one came.
     TrialStarved,
 }
 
-/// The lengths of time and counts of the return to service.
+/// Durations and counts that govern an endpoint's return to service after an ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EjectionConfig {
-    /// How long the first ejection lasts.
+    /// Duration of the first ejection; each further one takes twice as long.
     pub initial_hold_down: Duration,
-    /// How long an ejection lasts at most.
+    /// Longest duration of an ejection.
     pub max_hold_down: Duration,
-    /// How long an endpoint must serve for its hold-down to start small again.
+    /// An ejection after this time in a serving state has the initial hold-down again.
     pub hold_down_reset: Duration,
-    /// How many good answers in a row end a trial.
+    /// Successful requests in a row that end a trial.
     pub trial_successes: u32,
 }
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// The standing of one endpoint.
+/// State chart, failure detector and hold-down of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHealth {
     config: EjectionConfig,
@@ -77,31 +78,31 @@
     detector: FailureDetector,
     /// When the state was entered.
     since: Instant,
-    /// Ejections in a row without good conduct between them; each doubles the hold-down.
+    /// Ejections with less than `hold_down_reset` between them; each doubles the hold-down.
     ejections: u32,
-    /// Good answers of the running trial.
-    passed: u32,
+    /// Successful requests of the current trial.
+    trial_passes: u32,
 }
 
 impl EndpointHealth {
-    /// The standing of an endpoint that has just announced itself.
+    /// Creates the health of an endpoint that has just announced itself.
     pub fn new(config: EjectionConfig, now: Instant) -> Self {
         let state = CHART.initial;
-        Self { config, state, detector: FailureDetector::default(), since: now, ejections: 0, passed: 0 }
+        Self { config, state, detector: FailureDetector::default(), since: now, ejections: 0, trial_passes: 0 }
     }
 
-    /// The state.
+    /// The current state of the chart.
     pub fn state(&self) -> EndpointState {
         self.state
     }
 
-    /// The running failure rate, 0 to 1.
+    /// Exponentially weighted failure rate, 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.detector.failure_rate()
     }
 
-    /// Whether work may be admitted. What ejected or tried endpoints get is for the ingresses to
-    /// say, which know the floor.
+    /// Whether the guard admits work. It does for ejected endpoints and those in trial too, because the ingresses
+    /// decide by the capacity floor how much work these get.
     pub fn accepts_work(&self) -> bool {
         match self.state {
             EndpointState::Serving | EndpointState::Suspect | EndpointState::Ejected | EndpointState::Trial => true,
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Takes an event; returns whether the state changed.
+    /// Applies an event; returns whether the chart has a transition for it.
     pub fn handle(&mut self, event: EndpointEvent, now: Instant) -> bool {
         let Some(next) = CHART.next(self.state, event) else { return false };
         match next {
             EndpointState::Ejected => self.enter_ejected(now),
-            EndpointState::Trial => self.passed = 0,
+            EndpointState::Trial => self.trial_passes = 0,
             EndpointState::Serving | EndpointState::Starting => self.detector.reset(),
             EndpointState::Suspect if self.state == EndpointState::Trial => self.detector.reset(),
             EndpointState::Suspect | EndpointState::Leaving | EndpointState::Gone => (),
@@ -132,7 +133,8 @@
         self.ejections += 1;
     }
 
-    /// Takes a sample in; returns whether the state changed.
+    /// Records the result of a request; returns whether the state changed. `baseline` is the failure rate of the
+    /// service's other endpoints, 0 to 1; `weighs` selects the ejection threshold.
     pub fn record_sample(&mut self, sample: Sample, baseline: f64, weighs: Weighs, now: Instant) -> bool {
         let evidence = self.detector.record(sample, baseline, ejection_threshold(weighs));
         match self.state {
@@ -141,34 +143,34 @@
                 Evidence::Doubtful => self.handle(EndpointEvent::EvidenceDoubtful, now),
                 Evidence::Bad => self.handle(EndpointEvent::EvidenceBad, now),
             },
-            EndpointState::Trial => self.try_out(sample, now),
+            EndpointState::Trial => self.record_trial(sample, now),
             EndpointState::Starting | EndpointState::Ejected | EndpointState::Leaving | EndpointState::Gone => false,
         }
     }
 
-    fn try_out(&mut self, sample: Sample, now: Instant) -> bool {
+    fn record_trial(&mut self, sample: Sample, now: Instant) -> bool {
         match sample {
             Sample::Bad => self.handle(EndpointEvent::TrialFailed, now),
             Sample::Good => {
-                self.passed += 1;
-                self.passed >= self.config.trial_successes && self.handle(EndpointEvent::TrialPassed, now)
+                self.trial_passes += 1;
+                self.trial_passes >= self.config.trial_successes && self.handle(EndpointEvent::TrialPassed, now)
             }
         }
     }
 
-    /// Lets time pass; returns whether the state changed.
+    /// Ends a hold-down or a trial without requests when its time is over; returns whether the state changed.
     pub fn tick(&mut self, now: Instant) -> bool {
         if now.saturating_duration_since(self.since) < self.hold_down() {
             return false;
         }
         match self.state {
             EndpointState::Ejected => self.handle(EndpointEvent::HoldDownOver, now),
-            EndpointState::Trial if self.passed == 0 => self.handle(EndpointEvent::TrialStarved, now),
+            EndpointState::Trial if self.trial_passes == 0 => self.handle(EndpointEvent::TrialStarved, now),
             _ => false,
         }
     }
 
-    /// How long this ejection lasts: doubled for each one before it.
+    /// Duration of the current ejection, doubled for each ejection before it.
     pub fn hold_down(&self) -> Duration {
         let doublings = self.ejections.saturating_sub(1).min(16);
         self.config.initial_hold_down.saturating_mul(1 << doublings).min(self.config.max_hold_down)
--- a/src/decide/fingerprint.rs
+++ b/src/decide/fingerprint.rs
@@ -1,4 +1,5 @@
-//! How a request is known again when it comes once more, under another id and at another VM.
+//! Fingerprints identify a request that is sent again under another id or to another VM, so that a request that
+//! crashes endpoints can be quarantined everywhere.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -10,24 +11,24 @@
 
 use crate::util::stable_hash;
 
-/// What a request asks for, as one number: the same on every VM for requests with the same method, host, target,
-/// credentials and body, whatever their ids, deadlines and ways here.
+/// A stable hash of a request's method, host, target, credentials and body. It is the same on every VM and independent
+/// of request id and deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// It, as a number.
+    /// The hash value.
     pub fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// The fingerprint of a request.
+    /// Hashes the parts of a request; `credentials` may be empty.
     pub fn of_request(method: &str, host: &str, target: &str, credentials: &[u8], body: &[u8]) -> Self {
         Self(stable_hash(&[method.as_bytes(), host.as_bytes(), target.as_bytes(), credentials, body]))
     }
 }
 
-/// Sixteen hexadecimal digits.
+/// Writes sixteen hexadecimal digits.
 impl Display for Fingerprint {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
@@ -42,7 +43,7 @@
     }
 }
 
-/// Digits for people, a number between proxies.
+/// Writes hexadecimal digits in human-readable formats and a number in binary ones.
 impl Serialize for Fingerprint {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() { serializer.collect_str(self) } else { serializer.serialize_u64(self.0) }
