--- a/src/decide/service_times.rs
+++ b/src/decide/service_times.rs
@@ -1,34 +1,34 @@
-//! How long work takes, by class.
+//! Estimates the service time of each class from the requests that ended.
 
 use std::time::Duration;
 
-/// The weight of a new duration: about the last ten count.
-const WEIGHT: f64 = 0.1;
+/// Smoothing factor of the running means.
+const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// The running mean of the durations of each class.
+/// Exponentially weighted mean service time of each class.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceTimes {
-    /// Sorted by class; in seconds.
+    /// Class and mean in seconds, sorted by class.
     means: Vec<(Box<str>, f64)>,
 }
 
 impl ServiceTimes {
-    /// Takes in how long work of `class` took.
+    /// Adds the service time of a request of `class`.
     pub fn record(&mut self, class: &str, took: Duration) {
         let took = took.as_secs_f64();
         match self.means.binary_search_by(|it| (*it.0).cmp(class)) {
-            Ok(at) => self.means[at].1 += WEIGHT * (took - self.means[at].1),
+            Ok(at) => self.means[at].1 += SMOOTHING_FACTOR * (took - self.means[at].1),
             Err(at) => self.means.insert(at, (class.into(), took)),
         }
     }
 
-    /// How long work of `class` takes; `None` before the first.
+    /// The mean service time of `class`; `None` before its first request.
     pub fn mean(&self, class: &str) -> Option<Duration> {
         let at = self.means.binary_search_by(|it| (*it.0).cmp(class)).ok()?;
         Some(Duration::from_secs_f64(self.means[at].1))
     }
 
-    /// Forgets classes that `keep` does not name.
+    /// Removes the classes for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.means.retain(|it| keep(&it.0));
     }
--- a/src/decide/wait_queue.rs
+++ b/src/decide/wait_queue.rs
@@ -1,120 +1,114 @@
-//! The order in which waiting work is begun at an endpoint.
-//!
-//! Load pattern: sustained overload, in which work of all ranks waits for few slots. Refusing a call
-//! of running work wastes its parent's work too, so calls go first; then ranks, strictly; within a
-//! rank what can still be in time, oldest first, and only then what is late already: a queue in
-//! order of arrival lets all of a class become late together. Where a more urgent class alone fills every
-//! slot, the others still get a small part, so that none starves for as long as that lasts.
+//! Decides which waiting request an endpoint starts next: nested calls first, then by rank, then those that can still
+//! be in time, oldest first. A first-come queue would make all requests late together under overload. A small share
+//! of the slots goes to less urgent requests, so that none starves.
 
 use std::time::Instant;
 
 use super::{fingerprint::Fingerprint, guard_retry_budget::Retry, suspicion::EndpointStanding};
 
-/// So many places go to the more urgent while others wait; then one goes to those. A ninth of the places costs
-/// the urgent class little, and lies above the quarter of the average share at which users call a class starved
-/// while under half of all is served.
+/// Slots given in a row to the most urgent requests while less urgent ones wait; the next slot goes to one of these.
 const URGENT_IN_A_ROW: u32 = 8;
 
-/// Names a waiter at its queue.
+/// Identifies a waiter in its queue.
 pub type WaiterId = u64;
 
-/// Work that waits.
+/// A request that waits for a slot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Waiter {
-    /// Which.
+    /// Identifies the waiter.
     pub id: WaiterId,
-    /// Whether running work waits for it.
+    /// Whether a running request waits for this one.
     pub is_nested_call: bool,
-    /// The rank of its class, or of the work that made it; 0 goes first.
+    /// The rank of its class, or of the request that made this call; 0 goes first.
     pub rank: u32,
-    /// Whether it may run again.
+    /// Whether it may be executed more than once.
     pub idempotent: bool,
-    /// Whether a suspect endpoint may be tried with it.
+    /// Whether it may be used as a trial of a suspect endpoint.
     pub may_be_trial: bool,
-    /// Up to this standing an endpoint is good enough for it.
+    /// The worst standing of an endpoint that may run it, unless it is a trial.
     pub accepts: EndpointStanding,
-    /// When it came.
+    /// When it arrived at the guard.
     pub arrived: Instant,
-    /// After this it can't be in time.
+    /// A request that starts after this is expected to be late.
     pub latest_start: Instant,
-    /// Whether it needs an allowance for repeats.
+    /// Whether it spends the guard's retry budget.
     pub is_retry: bool,
-    /// How much of it counts as a repeat, 0 to 1.
+    /// The fraction of it that counts as a retry, 0 to 1.
     pub repeat_share: f64,
     /// Its class.
     pub route: Box<str>,
-    /// What the request asks for.
+    /// The fingerprint by which a quarantine applies to it.
     pub fingerprint: Fingerprint,
-    /// It is the trial of a request that is held back.
+    /// Whether it is the trial run of a quarantined request.
     pub is_quarantine_trial: bool,
 }
 
 impl Waiter {
-    /// It, as the allowance for repeats sees it.
+    /// What the retry budget considers of this request if it is a retry.
     pub fn retry(&self) -> Retry {
         Retry { rank: self.rank, is_nested_call: self.is_nested_call }
     }
 }
 
-/// The work that waits for one endpoint.
+/// The requests that wait for one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct WaitQueue {
-    /// In the order of arrival.
+    /// In order of arrival.
     waiters: Vec<Waiter>,
-    /// Places given while less urgent work waited, since such work got one; at most `URGENT_IN_A_ROW`.
-    passed_over: u32,
+    /// Slots given to more urgent requests since a less urgent one got its turn; at most [`URGENT_IN_A_ROW`].
+    urgent_in_a_row: u32,
 }
 
 impl WaitQueue {
-    /// How many wait.
+    /// Number of waiters.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Whether none waits.
+    /// Whether there is no waiter.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// Adds a waiter.
+    /// Adds a waiter at the end.
     pub fn push(&mut self, waiter: Waiter) {
         self.waiters.push(waiter);
     }
 
-    /// Takes a waiter out that no longer waits.
+    /// Removes the waiter `id`; `None` if it doesn't wait here.
     pub fn remove(&mut self, id: WaiterId) -> Option<Waiter> {
         let at = self.waiters.iter().position(|it| it.id == id)?;
         Some(self.waiters.remove(at))
     }
 
-    /// Takes out the next to begin, of those that `admits` lets through.
+    /// Removes and returns the request to start next, among those for which `admits` returns true.
     pub fn next(&mut self, now: Instant, admits: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
-        let first = |fits: &dyn Fn(&Waiter) -> bool| {
-            let fitting = self.waiters.iter().enumerate().filter(|(_, it)| admits(it) && fits(it));
-            fitting.min_by_key(|(_, it)| order(it, now)).map(|(at, _)| at)
+        let first = |matches: &dyn Fn(&Waiter) -> bool| {
+            let matching = self.waiters.iter().enumerate().filter(|(_, it)| admits(it) && matches(it));
+            matching.min_by_key(|(_, it)| start_order(it, now)).map(|(at, _)| at)
         };
-        let best = first(&|_| true)?;
-        let Waiter { is_nested_call, rank, .. } = self.waiters[best];
-        let passed_over =
+        let most_urgent = first(&|_| true)?;
+        let Waiter { is_nested_call, rank, .. } = self.waiters[most_urgent];
+        let less_urgent =
             first(&|it| !is_nested_call && !it.is_nested_call && it.rank > rank && it.latest_start >= now);
-        let at = match passed_over {
-            Some(it) if self.passed_over >= URGENT_IN_A_ROW => it,
-            Some(_) | None => best,
+        let at = match less_urgent {
+            Some(it) if self.urgent_in_a_row >= URGENT_IN_A_ROW => it,
+            Some(_) | None => most_urgent,
         };
-        if passed_over.is_some() {
-            self.passed_over = if at == best { self.passed_over + 1 } else { 0 };
+        if less_urgent.is_some() {
+            self.urgent_in_a_row = if at == most_urgent { self.urgent_in_a_row + 1 } else { 0 };
         }
         Some(self.waiters.remove(at))
     }
 
-    /// Takes out one that `fits`, if there is any.
-    pub fn remove_first(&mut self, fits: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
-        let at = self.waiters.iter().position(fits)?;
+    /// Removes and returns the oldest waiter for which `matches` returns true.
+    pub fn remove_first(&mut self, matches: impl Fn(&Waiter) -> bool) -> Option<Waiter> {
+        let at = self.waiters.iter().position(matches)?;
         Some(self.waiters.remove(at))
     }
 }
 
-/// The lower goes first.
-fn order(waiter: &Waiter, now: Instant) -> (bool, u32, bool, Instant) {
+/// Sort key: the waiter with the lowest key starts first.
+fn start_order(waiter: &Waiter, now: Instant) -> (bool, u32, bool, Instant) {
     (!waiter.is_nested_call, waiter.rank, waiter.latest_start < now, waiter.arrived)
 }
--- a/src/decide/weighted_round_robin.rs
+++ b/src/decide/weighted_round_robin.rs
@@ -1,40 +1,41 @@
-//! The shares of a route's services, kept exactly over any run of its requests.
+//! Splits a route's requests among its services by weight. Unlike a random choice, it keeps the split exact to within
+//! one request over any sequence of requests.
 
 use rand::{Rng, RngExt as _};
 
-/// Deals a route's requests to its services in proportion to their weights.
+/// Smooth weighted round robin over the services of one route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedRoundRobin {
-    /// Relative to each other; the sum is above zero unless all are zero.
+    /// Relative weights, zero or above.
     weights: Vec<f64>,
-    /// What each service is owed, in requests; the sum stays what it was.
-    owed: Vec<f64>,
+    /// Requests that each service is owed; their sum is constant.
+    credits: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// Begins at a random point of the round, so that proxies don't all begin with the same service.
+    /// Starts with random credits, so that proxies don't all pick the same service first.
     pub fn new(weights: Vec<f64>, rng: &mut impl Rng) -> Self {
-        let owed = weights.iter().map(|_| rng.random_range(0.0..1.0)).collect();
-        Self { weights, owed }
+        let credits = weights.iter().map(|_| rng.random_range(0.0..1.0)).collect();
+        Self { weights, credits }
     }
 
-    /// The weights dealt by.
+    /// The weights given to [`new`](Self::new), in the order of the services.
     pub fn weights(&self) -> &[f64] {
         &self.weights
     }
 
-    /// The service of the next request, by place in the list; the first if all weights are zero.
+    /// The index of the service for the next request; 0 if all weights are zero.
     pub fn pick(&mut self) -> usize {
         let sum: f64 = self.weights.iter().sum();
         if sum <= 0.0 {
             return 0;
         }
-        for (owed, weight) in self.owed.iter_mut().zip(&self.weights) {
-            *owed += weight / sum;
+        for (credit, weight) in self.credits.iter_mut().zip(&self.weights) {
+            *credit += weight / sum;
         }
-        let entitled = (0..self.owed.len()).filter(|it| self.weights[*it] > 0.0);
-        let next = entitled.max_by(|a, b| self.owed[*a].total_cmp(&self.owed[*b])).unwrap_or(0);
-        self.owed[next] -= 1.0;
+        let weighted = (0..self.credits.len()).filter(|it| self.weights[*it] > 0.0);
+        let next = weighted.max_by(|a, b| self.credits[*a].total_cmp(&self.credits[*b])).unwrap_or(0);
+        self.credits[next] -= 1.0;
         next
     }
 }
