--- a/src/decide/guard_retry_budget.rs
+++ b/src/decide/guard_retry_budget.rs
@@ -1,128 +1,118 @@
-//! Each guard's part of the fleet's allowance for arrivals beyond a request's first.
-//!
-//! Load pattern: gray endpoints, endpoints that shed, and stalls make every ingress want to send work
-//! again at once, and suspicion moves the load from guard to guard while it lasts. The fleet may send
-//! again, at each service, a share of its requests and a fixed slack in any window. No messages: guards
-//! see every arrival at their endpoint, and each fills a bucket with the share of its first arrivals and
-//! takes one token out for each repeat. In whichever window, its repeats are at most the share of its
-//! first arrivals there plus what the bucket holds, so the sums over the service's guards keep the rule
-//! wherever the load goes. (A sliding window at each guard did not: each granted repeats for the time when
-//! it had most requests, and these times differ.)
+//! One guard's part of a service's retry budget, as a token bucket: first arrivals add a share of a token, retries take
+//! one. It prevents retry storms when many endpoints fail or shed load. Retries in any time window are at most the share
+//! of its first arrivals plus the bucket size, so the sum over the service's guards keeps the limit without messages.
 
 use std::{
     num::NonZeroUsize,
     time::{Duration, Instant},
 };
 
-/// The part of the slack that the buckets hold together. The rest is the margin for calls of repeated
-/// work, which count and can't be held back, and for guards that come and go.
-const SLACK_USED: f64 = 0.6;
-/// The part of a bucket that repeats of callers' requests leave to repeats of calls, since a call that
-/// fails wastes the work that waits for it, and a caller that is refused can come back. Repeats leave as much to those
-/// of more urgent work, calls or not: a repeat saves a caller's request at once, and a call's only where all calls of
-/// its work end well.
-const KEPT_PART: f64 = 0.2;
-/// How long a request for a repeat keeps that part from less urgent work: some times the pause between two of them at a
-/// guard whose service declines half.
-const WANTED_FOR: Duration = Duration::from_secs(1);
-/// The part of the bucket that a guard begins with: what its predecessor spent is not known, and guards
-/// that all start anew must not have the slack twice.
-const AT_START: f64 = 0.4;
+/// Fraction of the slack that the buckets of all guards hold. The rest is a margin for nested calls of retried
+/// requests, which count but are never refused, and for guards that start or stop.
+const SLACK_FRACTION: f64 = 0.6;
+/// Fraction of the bucket reserved for nested calls, because a failed call wastes the request that waits for it. The
+/// same fraction is reserved for more urgent ranks while these want retries.
+const RESERVED_FRACTION: f64 = 0.2;
+/// How long the demand for a retry reserves tokens for its rank.
+const DEMAND_TTL: Duration = Duration::from_secs(1);
+/// Fill level of a new guard's bucket. It is below one because the tokens that a previous process spent are unknown.
+const INITIAL_FILL: f64 = 0.4;
 
-/// What the fleet may spend on each service.
+/// Limits on the retries sent to one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Arrivals beyond the first, as a share of requests.
+    /// Retries allowed for each first arrival.
     pub ratio: f64,
-    /// More of them in each window, for all guards of a service together.
+    /// Retries allowed in addition in any time window, for all guards of the service together.
     pub slack: f64,
 }
 
-/// An arrival beyond the first of its request.
+/// An arrival of a request that was sent to an endpoint before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retry {
-    /// The rank of its class, or of the work that made it; 0 goes first.
+    /// The rank of its class, or of the request that made this call; 0 goes first.
     pub rank: u32,
-    /// Whether running work waits for it.
+    /// Whether a running request waits for this one.
     pub is_nested_call: bool,
 }
 
-/// The allowance at one guard.
+/// The token bucket of one guard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GuardRetryBudget {
     config: RetryBudgetConfig,
-    /// How many guards share the slack; `None` until that is known.
+    /// Number of guards that share the slack; `None` until known.
     guards: Option<NonZeroUsize>,
-    /// In repeats; at most the bucket's size. Below zero after calls of repeated work, which are not held
-    /// back.
+    /// Retries available, at most the bucket size. Negative after nested calls of retried requests, which are never
+    /// refused.
     tokens: f64,
-    /// Ranks of which a repeat was wanted here, and when last; sorted.
-    wanted: Vec<(u32, Instant)>,
+    /// Ranks for which a retry was requested and the time of the last request, sorted by rank.
+    demand: Vec<(u32, Instant)>,
 }
 
 impl GuardRetryBudget {
-    /// The allowance of a guard that has just started.
+    /// Creates the budget of a guard that has just started. It allows no retry before
+    /// [`set_guard_count`](Self::set_guard_count).
     pub fn new(config: RetryBudgetConfig) -> Self {
-        Self { config, guards: None, tokens: 0.0, wanted: Vec::new() }
+        Self { config, guards: None, tokens: 0.0, demand: Vec::new() }
     }
 
-    /// Takes in how many guards share the slack.
+    /// Sets the number of guards that share the slack of the service.
     pub fn set_guard_count(&mut self, guards: usize) {
         let before = self.guards.replace(NonZeroUsize::new(guards).unwrap_or(NonZeroUsize::MIN));
         match before {
-            None => self.tokens += (self.size() * AT_START).max(1.0),
-            // A guard that has just started finds the others one by one; each has its part.
+            None => self.tokens += (self.size() * INITIAL_FILL).max(1.0),
+            // The tokens shrink with the guard's share, or a guard that discovers the others one by one would keep
+            // too many.
             Some(it) if it.get() < guards && self.tokens > 0.0 => self.tokens *= it.get() as f64 / guards as f64,
             Some(_) => (),
         }
         self.tokens = self.tokens.min(self.size());
     }
 
-    /// Counts an arrival, of which `repeat_share` counts as a repeat.
+    /// Adds or takes tokens for an arrival; `repeat_share` is the fraction of it that counts as a retry, 0 to 1.
     pub fn record_arrival(&mut self, repeat_share: f64) {
-        self.fill(self.worth(repeat_share));
+        self.add_tokens(self.tokens_of_arrival(repeat_share));
     }
 
-    /// Takes back what was counted for a place that was not used: nothing arrived. Places are often
-    /// given by two guards at once under load, and firsts that never came would raise the allowance.
+    /// Reverts [`record_arrival`](Self::record_arrival) for a reserved slot that was not used. Under load, two guards
+    /// often reserve a slot for the same request.
     pub fn undo_arrival(&mut self, repeat_share: f64) {
-        self.fill(-self.worth(repeat_share));
+        self.add_tokens(-self.tokens_of_arrival(repeat_share));
     }
 
-    /// The tokens that an arrival brings, below zero for those that it takes.
-    fn worth(&self, repeat_share: f64) -> f64 {
+    /// Tokens that an arrival adds; negative if it takes some.
+    fn tokens_of_arrival(&self, repeat_share: f64) -> f64 {
         self.config.ratio * (1.0 - repeat_share) - repeat_share
     }
 
-    /// A repeat is wanted here, whether it may arrive or not.
-    pub fn record_demand(&mut self, repeat: Retry, now: Instant) {
-        match self.wanted.binary_search_by_key(&repeat.rank, |it| it.0) {
-            Ok(at) => self.wanted[at].1 = now,
-            Err(at) => self.wanted.insert(at, (repeat.rank, now)),
+    /// Records that a retry was requested, whether it is allowed or not. This reserves tokens for its rank.
+    pub fn record_demand(&mut self, retry: Retry, now: Instant) {
+        match self.demand.binary_search_by_key(&retry.rank, |it| it.0) {
+            Ok(at) => self.demand[at].1 = now,
+            Err(at) => self.demand.insert(at, (retry.rank, now)),
         }
     }
 
-    /// Whether one more repeat may arrive.
-    pub fn allows(&self, repeat: Retry, now: Instant) -> bool {
-        let recent = |it: &(u32, Instant)| now.saturating_duration_since(it.1) < WANTED_FOR;
-        let yields = self.wanted.iter().take_while(|it| it.0 < repeat.rank).any(recent);
-        // A caller's repeat leaves a part to calls, and any repeat one to more urgent work.
-        let parts = u32::from(yields) + u32::from(!repeat.is_nested_call);
-        self.tokens >= 1.0 + self.size() * KEPT_PART * f64::from(parts)
+    /// Whether the tokens suffice for one more retry, besides those reserved for nested calls and more urgent ranks.
+    pub fn allows(&self, retry: Retry, now: Instant) -> bool {
+        let is_recent = |it: &(u32, Instant)| now.saturating_duration_since(it.1) < DEMAND_TTL;
+        let has_urgent_demand = self.demand.iter().take_while(|it| it.0 < retry.rank).any(is_recent);
+        let reserves = u32::from(has_urgent_demand) + u32::from(!retry.is_nested_call);
+        self.tokens >= 1.0 + self.size() * RESERVED_FRACTION * f64::from(reserves)
     }
 
-    /// Whether no repeat may arrive, of whatever work.
+    /// Whether every retry would be refused.
     pub fn is_exhausted(&self) -> bool {
         self.tokens < 1.0
     }
 
-    fn fill(&mut self, tokens: f64) {
+    fn add_tokens(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.size());
     }
 
-    /// What the bucket holds: this guard's part of the slack, or one repeat where that is less, since a
-    /// smaller bucket would allow none ever.
+    /// The bucket size: this guard's share of the slack, but at least one token, without which no retry would ever be
+    /// allowed.
     fn size(&self) -> f64 {
-        (self.config.slack * SLACK_USED / self.guards.map_or(1, NonZeroUsize::get) as f64).max(1.0)
+        (self.config.slack * SLACK_FRACTION / self.guards.map_or(1, NonZeroUsize::get) as f64).max(1.0)
     }
 }
