--- a/tests/wait_queue.rs
+++ b/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting work is begun, replayed against the load patterns that it answers.
+//! The order in which waiting requests start: under overload, urgent requests and slots must not be wasted on late ones.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,20 @@
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
-const WORK: Duration = Duration::from_millis(400);
-/// For how long work comes, in milliseconds.
+const SERVICE_TIME: Duration = Duration::from_millis(400);
+/// Milliseconds during which requests arrive.
 const LOAD_MS: u32 = 20_000;
 
-fn waiter(id: u64, call: bool, rank: u32, arrived: Instant, useful: Duration) -> Waiter {
+fn waiter(id: u64, is_nested_call: bool, rank: u32, arrived: Instant, max_wait: Duration) -> Waiter {
     Waiter {
         id,
-        is_nested_call: call,
+        is_nested_call,
         rank,
         idempotent: true,
         may_be_trial: true,
         accepts: EndpointStanding::Clean,
         arrived,
-        latest_start: arrived + useful,
+        latest_start: arrived + max_wait,
         is_retry: false,
         repeat_share: 0.0,
         fingerprint: Fingerprint::default(),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn calls_of_running_work_go_first_then_ranks_then_what_can_still_be_in_time() {
+fn nested_calls_start_first_then_lower_ranks_then_requests_that_can_be_in_time() {
     let now = Instant::now();
     let mut queue = WaitQueue::default();
     queue.push(waiter(1, false, 2, now, Duration::from_secs(9)));
@@ -44,12 +44,12 @@
 
     let order: Vec<_> = (0..5).filter_map(|_| queue.next(now + 50 * MS, |_| true)).map(|it| it.id).collect();
 
-    assert_eq!(order, [5, 3, 4, 2, 1], "2 is late already, 1 is of a lower rank");
+    assert_eq!(order, [5, 3, 4, 2, 1], "2 is already late, 1 has a less urgent rank");
 }
 
-/// One endpoint with four slots; a piece of work comes every so many milliseconds, of one of two classes, each
-/// with its rank, and is of use for 600 ms; returns how many of each class began in time.
-fn replay(every_ms: u32, class: impl Fn(u32) -> usize, ranks: [u32; 2]) -> [u32; 2] {
+/// Simulates an endpoint with four slots. Every `every_ms` a request of one of two classes arrives and has to start
+/// within 600 ms. Returns how many requests of each class started in time.
+fn simulate(every_ms: u32, class: impl Fn(u32) -> usize, ranks: [u32; 2]) -> [u32; 2] {
     let start = Instant::now();
     let mut queue = WaitQueue::default();
     let mut busy: Vec<Instant> = Vec::new();
@@ -63,7 +63,7 @@
         busy.retain(|it| *it > now);
         while busy.len() < 4 {
             let Some(next) = queue.next(now, |_| true) else { break };
-            busy.push(now + WORK);
+            busy.push(now + SERVICE_TIME);
             in_time[class(next.id as u32)] += u32::from(next.latest_start >= now);
         }
     }
@@ -71,43 +71,46 @@
 }
 
 #[test]
-fn under_twice_the_load_the_urgent_class_is_served_whole_and_slots_do_useful_work() {
-    // 20 pieces a second, where 10 a second can be served; one in four is urgent.
+fn under_twofold_overload_the_urgent_class_is_served_completely_and_few_slots_are_wasted() {
+    // 20 requests a second arrive and 10 can be served; one in four is urgent.
     let class = |number: u32| usize::from(!number.is_multiple_of(4));
-    let [urgent, other] = replay(50, class, [0, 1]);
-    let [urgent_before, other_before] = replay(50, class, [0, 0]);
+    let [urgent, other] = simulate(50, class, [0, 1]);
+    let [urgent_unranked, other_unranked] = simulate(50, class, [0, 0]);
 
-    assert_eq!(urgent, 100, "all of the urgent class");
-    assert!(urgent + other >= 190, "nearly every slot did work that was still in time: {urgent} + {other}");
-    assert!(urgent_before < 60, "in order of arrival it suffers like the rest: {urgent_before} + {other_before}");
+    assert_eq!(urgent, 100, "all requests of the urgent class start in time");
+    assert!(urgent + other >= 190, "nearly every slot runs a request that is in time: {urgent} + {other}");
+    assert!(
+        urgent_unranked < 60,
+        "with equal ranks the urgent class is served no better than the other: {urgent_unranked} + {other_unranked}"
+    );
 }
 
 #[test]
-fn the_less_urgent_class_gets_a_ninth_where_the_urgent_one_fills_every_slot() {
-    // 40 pieces a second, every second one urgent: these alone are twice what can be served.
-    let [urgent, other] = replay(25, |number| (number % 2) as usize, [0, 1]);
+fn the_less_urgent_class_gets_a_ninth_of_the_slots_that_the_urgent_one_could_fill() {
+    // 40 requests a second arrive and 10 can be served; every second one is urgent.
+    let [urgent, other] = simulate(25, |number| (number % 2) as usize, [0, 1]);
 
-    assert!((195..=212).contains(&(urgent + other)), "every slot does work that is still in time: {urgent} + {other}");
-    assert!((20..=24).contains(&other), "{other} of {}", urgent + other);
+    assert!((195..=212).contains(&(urgent + other)), "every slot runs a request that is in time: {urgent} + {other}");
+    assert!((20..=24).contains(&other), "{other} of {} requests were less urgent", urgent + other);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn every_waiter_leaves_the_queue_once(ranks in prop::collection::vec((any::<bool>(), 0u32..4, 0u64..500), 1..60)) {
+    fn every_waiter_leaves_the_queue_exactly_once(waiters in prop::collection::vec((any::<bool>(), 0u32..4, 0u64..500), 1..60)) {
         let now = Instant::now();
         let mut queue = WaitQueue::default();
-        for (at, (call, rank, useful)) in ranks.iter().enumerate() {
-            queue.push(waiter(at as u64, *call, *rank, now, Duration::from_millis(*useful)));
+        for (at, (is_nested_call, rank, max_wait_ms)) in waiters.iter().enumerate() {
+            queue.push(waiter(at as u64, *is_nested_call, *rank, now, Duration::from_millis(*max_wait_ms)));
         }
-        let mut seen = Vec::new();
+        let mut started = Vec::new();
         let mut time = now;
         while let Some(it) = queue.next(time, |_| true) {
-            seen.push(it.id);
+            started.push(it.id);
             time += 10 * MS;
         }
-        seen.sort_unstable();
-        prop_assert_eq!(seen, (0..ranks.len() as u64).collect::<Vec<_>>());
+        started.sort_unstable();
+        prop_assert_eq!(started, (0..waiters.len() as u64).collect::<Vec<_>>());
     }
 }
