--- a/tests/daemon_decisions.rs
+++ b/tests/daemon_decisions.rs
@@ -1,4 +1,5 @@
-//! Admission, floor, standing, choice, budget: properties over seeded random runs.
+//! The decisions of the daemons: admission, capacity floor, endpoint health, endpoint choice, retry budget and path
+//! health.
 
 use std::time::{Duration, Instant};
 
@@ -19,25 +20,26 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn arrival(id: u64, importance: u8, deadline: Instant) -> AdmissionRequest {
+fn request(id: u64, importance: u8, deadline: Instant) -> AdmissionRequest {
     AdmissionRequest { id, importance, deadline }
 }
 
-fn full_gate(now: Instant) -> AdmissionController {
-    let mut gate = AdmissionController::new(1);
-    gate.admit(arrival(0, 50, now + SECOND), now);
-    gate
+/// A controller whose only slot is in use.
+fn busy_controller(now: Instant) -> AdmissionController {
+    let mut controller = AdmissionController::new(1);
+    controller.admit(request(0, 50, now + SECOND), now);
+    controller
 }
 
 #[test]
-fn the_most_important_runs_next_and_then_the_most_urgent() {
+fn waiters_run_by_importance_then_by_deadline() {
     let now = Instant::now();
-    let mut gate = full_gate(now);
+    let mut controller = busy_controller(now);
     for (id, importance, ms) in [(1, 30, 900), (2, 90, 900), (3, 90, 500)] {
-        gate.admit(arrival(id, importance, now + Duration::from_millis(ms)), now);
+        controller.admit(request(id, importance, now + Duration::from_millis(ms)), now);
     }
 
-    let order: Vec<_> = (0..3).map(|_| gate.release_slot(Duration::from_millis(1), now)[0].id).collect();
+    let order: Vec<_> = (0..3).map(|_| controller.release_slot(Duration::from_millis(1), now)[0].id).collect();
 
     assert_eq!(order, [3, 2, 1]);
 }
@@ -45,29 +47,29 @@
 #[test]
 fn a_full_queue_evicts_its_least_important_entry() {
     let now = Instant::now();
-    let mut gate = full_gate(now);
+    let mut controller = busy_controller(now);
     for id in 1..=4 {
-        gate.admit(arrival(id, 30, now + SECOND), now);
+        controller.admit(request(id, 30, now + SECOND), now);
     }
 
-    let lookup = gate.admit(arrival(5, 30, now + SECOND), now);
-    let admits = gate.min_importance();
-    let charge = gate.admit(arrival(6, 90, now + SECOND), now);
+    let less_important = controller.admit(request(5, 30, now + SECOND), now);
+    let min_importance = controller.min_importance();
+    let more_important = controller.admit(request(6, 90, now + SECOND), now);
 
-    assert_eq!(lookup, (AdmissionDecision::Refuse(Refusal::Overloaded), None));
-    assert_eq!(admits, 31);
-    assert_eq!(charge.0, AdmissionDecision::Queue);
-    assert_eq!(charge.1.expect("someone had to go").decision, AdmissionDecision::Refuse(Refusal::Overloaded));
+    assert_eq!(less_important, (AdmissionDecision::Refuse(Refusal::Overloaded), None));
+    assert_eq!(min_importance, 31);
+    assert_eq!(more_important.0, AdmissionDecision::Queue);
+    assert_eq!(more_important.1.expect("a waiter is evicted").decision, AdmissionDecision::Refuse(Refusal::Overloaded));
 }
 
 #[test]
-fn work_that_cannot_be_in_time_is_refused_at_once() {
+fn a_request_that_would_miss_its_deadline_is_refused_at_once() {
     let now = Instant::now();
-    let mut gate = full_gate(now);
-    gate.release_slot(Duration::from_millis(400), now);
-    gate.admit(arrival(1, 50, now + SECOND), now);
+    let mut controller = busy_controller(now);
+    controller.release_slot(Duration::from_millis(400), now);
+    controller.admit(request(1, 50, now + SECOND), now);
 
-    let late = gate.admit(arrival(2, 50, now + Duration::from_millis(300)), now);
+    let late = controller.admit(request(2, 50, now + Duration::from_millis(300)), now);
 
     assert_eq!(late, (AdmissionDecision::Refuse(Refusal::TooLate), None));
 }
@@ -76,37 +78,37 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_gate_never_runs_more_than_its_slots_and_decides_everyone(
+    fn a_controller_never_runs_more_than_its_slots_and_decides_on_every_waiter(
         slots in 1u16..6,
         steps in prop::collection::vec((any::<bool>(), 1u8..100, 1u64..500), 1..200),
     ) {
         let start = Instant::now();
-        let mut gate = AdmissionController::new(slots);
+        let mut controller = AdmissionController::new(slots);
         let mut waiting = Vec::new();
         for (id, (arrives, importance, ms)) in steps.into_iter().enumerate() {
             let now = start + Duration::from_millis(id as u64);
-            let mut releases = Vec::new();
+            let mut decisions = Vec::new();
             if arrives {
-                let (admission, evicted) = gate.admit(arrival(id as u64, importance, now + Duration::from_millis(ms)), now);
-                if admission == AdmissionDecision::Queue {
+                let (decision, evicted) = controller.admit(request(id as u64, importance, now + Duration::from_millis(ms)), now);
+                if decision == AdmissionDecision::Queue {
                     waiting.push(id as u64);
                 }
-                releases.extend(evicted);
-            } else if gate.running() > 0 {
-                releases = gate.release_slot(Duration::from_millis(ms / 10), now);
+                decisions.extend(evicted);
+            } else if controller.running() > 0 {
+                decisions = controller.release_slot(Duration::from_millis(ms / 10), now);
             }
-            for it in releases {
+            for it in decisions {
                 let at = waiting.iter().position(|id| *id == it.id);
                 prop_assert!(at.is_some(), "{it:?} was not waiting");
                 waiting.swap_remove(at.unwrap());
             }
-            prop_assert!(gate.running() <= slots);
-            prop_assert_eq!(gate.load() as usize, usize::from(gate.running()) + waiting.len());
+            prop_assert!(controller.running() <= slots);
+            prop_assert_eq!(controller.load() as usize, usize::from(controller.running()) + waiting.len());
         }
     }
 
     #[test]
-    fn ejections_never_take_a_service_below_its_floor(
+    fn ejections_never_leave_a_service_below_its_capacity_floor(
         states in prop::collection::vec((1u16..10, 0usize..7, 0u8..12), 0..30),
         floor in 1u8..101,
     ) {
@@ -118,83 +120,84 @@
         let allowed = eligible_endpoints(&endpoints, floor);
 
         let announced = |it: &&EndpointCapacity| matches!(it.state, Serving | Suspect | Ejected | Trial);
-        let total: u32 = endpoints.iter().filter(announced).map(|it| u32::from(it.slots)).sum();
-        let given: u32 = endpoints.iter().zip(&allowed).filter(|it| *it.1).map(|it| u32::from(it.0.slots)).sum();
-        prop_assert!(given * 100 >= total * u32::from(floor).min(100));
-        let leaving_gets_none =
+        let announced_slots: u32 = endpoints.iter().filter(announced).map(|it| u32::from(it.slots)).sum();
+        let allowed_slots: u32 = endpoints.iter().zip(&allowed).filter(|it| *it.1).map(|it| u32::from(it.0.slots)).sum();
+        prop_assert!(allowed_slots * 100 >= announced_slots * u32::from(floor).min(100));
+        let absent_get_none =
             endpoints.iter().zip(&allowed).all(|(it, ok)| !ok || !matches!(it.state, Leaving | Gone | Starting));
-        prop_assert!(leaving_gets_none);
+        prop_assert!(absent_get_none);
     }
 }
 
-fn serving(now: Instant) -> EndpointHealth {
-    let mut standing = EndpointHealth::new(EjectionConfig::default(), now);
-    standing.handle(EndpointEvent::AnnouncedServing, now);
-    standing
+fn serving_endpoint(now: Instant) -> EndpointHealth {
+    let mut health = EndpointHealth::new(EjectionConfig::default(), now);
+    health.handle(EndpointEvent::AnnouncedServing, now);
+    health
 }
 
-fn eject(standing: &mut EndpointHealth, now: Instant) -> u32 {
+/// Records failures until the endpoint is ejected; returns how many it took.
+fn eject(health: &mut EndpointHealth, now: Instant) -> u32 {
     let mut count = 0;
-    while standing.state() != EndpointState::Ejected {
-        standing.record_sample(Sample::Bad, 0.0, Weighs::DetectionTime, now);
+    while health.state() != EndpointState::Ejected {
+        health.record_sample(Sample::Bad, 0.0, Weighs::DetectionTime, now);
         count += 1;
     }
     count
 }
 
 #[test]
-fn hold_down_doubles_for_an_endpoint_that_flaps() {
+fn hold_down_doubles_for_a_flapping_endpoint() {
     let mut now = Instant::now();
-    let mut standing = serving(now);
-    let mut held = Vec::new();
+    let mut health = serving_endpoint(now);
+    let mut hold_downs = Vec::new();
 
     for _ in 0..3 {
-        eject(&mut standing, now);
-        held.push(standing.hold_down().as_secs());
-        now += standing.hold_down();
-        assert!(standing.tick(now));
+        eject(&mut health, now);
+        hold_downs.push(health.hold_down().as_secs());
+        now += health.hold_down();
+        assert!(health.tick(now));
         for _ in 0..EjectionConfig::default().trial_successes {
-            standing.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+            health.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
         }
-        assert_eq!(standing.state(), EndpointState::Serving);
+        assert_eq!(health.state(), EndpointState::Serving);
     }
 
-    assert_eq!(held, [5, 10, 20]);
+    assert_eq!(hold_downs, [5, 10, 20]);
 }
 
 #[test]
-fn a_trial_without_idempotent_work_ends_in_a_little_of_any_work() {
+fn a_trial_without_requests_makes_the_endpoint_a_suspect() {
     let mut now = Instant::now();
-    let mut standing = serving(now);
-    eject(&mut standing, now);
+    let mut health = serving_endpoint(now);
+    eject(&mut health, now);
 
     for _ in 0..2 {
-        now += standing.hold_down();
-        standing.tick(now);
+        now += health.hold_down();
+        health.tick(now);
     }
 
-    assert_eq!(standing.state(), EndpointState::Suspect);
-    standing.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
-    assert_eq!(standing.state(), EndpointState::Serving);
+    assert_eq!(health.state(), EndpointState::Suspect);
+    health.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+    assert_eq!(health.state(), EndpointState::Serving);
 }
 
 #[rstest]
 #[case(Weighs::DetectionTime)]
 #[case(Weighs::FalseEjections)]
-fn trouble_that_all_endpoints_share_ejects_nobody(#[case] weighs: Weighs) {
+fn failures_at_the_baseline_rate_eject_no_endpoint(#[case] weighs: Weighs) {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut detector = FailureDetector::default();
 
-    let worst = (0..5_000).map(|_| {
+    let evidence = (0..5_000).map(|_| {
         let sample = if rng.random_bool(0.3) { Sample::Bad } else { Sample::Good };
         detector.record(sample, 0.3, ejection_threshold(weighs))
     });
 
-    assert!(worst.into_iter().all(|it| it != Evidence::Bad));
+    assert!(evidence.into_iter().all(|it| it != Evidence::Bad));
 }
 
 #[test]
-fn the_baseline_is_the_median_of_the_others() {
+fn the_median_failure_rate_is_that_of_the_middle_level() {
     assert_eq!(median_failure_rate(&mut []), 0.0);
     assert_eq!(median_failure_rate(&mut [0, 11, 0]), 0.0);
     assert_eq!(median_failure_rate(&mut [10, 10, 10, 0]), 0.5);
@@ -202,14 +205,14 @@
 }
 
 #[test]
-fn a_choice_prefers_near_then_less_loaded_and_avoids_only_while_it_can() {
-    let it = Candidate { near: true, suspect: false, avoid: false, load: 0, slots: 4 };
-    let far = Candidate { near: false, ..it };
-    let busy = Candidate { load: 4, ..it };
-    let avoided = Candidate { avoid: true, ..it };
+fn the_choice_prefers_near_and_less_loaded_endpoints_and_avoids_some_if_others_exist() {
+    let near = Candidate { near: true, suspect: false, avoid: false, load: 0, slots: 4 };
+    let far = Candidate { near: false, ..near };
+    let busy = Candidate { load: 4, ..near };
+    let avoided = Candidate { avoid: true, ..near };
     let mut rng = SmallRng::seed_from_u64(1);
 
-    assert_eq!(choose_endpoint(&[far, it], &mut rng), Some(1));
+    assert_eq!(choose_endpoint(&[far, near], &mut rng), Some(1));
     assert_eq!(choose_endpoint(&[far, busy], &mut rng), Some(0));
     assert_eq!(choose_endpoint(&[avoided, far], &mut rng), Some(1));
     assert_eq!(choose_endpoint(&[avoided], &mut rng), Some(0));
@@ -217,19 +220,19 @@
 }
 
 #[test]
-fn retries_stay_a_tenth_of_the_traffic() {
+fn retries_stay_near_a_tenth_of_the_first_attempts() {
     let mut budget = ClassRetryBudget::default();
 
-    let spent = (0..1_000).filter(|_| {
+    let retries = (0..1_000).filter(|_| {
         budget.deposit();
         budget.withdraw()
     });
 
-    assert!(spent.count() <= 110);
+    assert!(retries.count() <= 110);
 }
 
 #[test]
-fn a_path_rests_longer_each_time_and_recovers_with_one_answer() {
+fn the_backoff_of_a_path_doubles_and_ends_with_one_answer() {
     let now = Instant::now();
     let mut path = PathHealth::default();
 
