--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions: pure code, with time and randomness passed in.
+//! The decision logic of the proxies and daemons. It does no I/O; callers pass in the current time and the random
+//! number generator.
 
 mod admission;
 mod capacity_floor;
--- a/tests/daemon_decisions.rs
+++ b/tests/daemon_decisions.rs
@@ -123,9 +123,9 @@
         let announced_slots: u32 = endpoints.iter().filter(announced).map(|it| u32::from(it.slots)).sum();
         let allowed_slots: u32 = endpoints.iter().zip(&allowed).filter(|it| *it.1).map(|it| u32::from(it.0.slots)).sum();
         prop_assert!(allowed_slots * 100 >= announced_slots * u32::from(floor).min(100));
-        let absent_get_none =
+        let unavailable_get_none =
             endpoints.iter().zip(&allowed).all(|(it, ok)| !ok || !matches!(it.state, Leaving | Gone | Starting));
-        prop_assert!(absent_get_none);
+        prop_assert!(unavailable_get_none);
     }
 }
 
--- a/tests/proxy_decisions.rs
+++ b/tests/proxy_decisions.rs
@@ -1,4 +1,4 @@
-//! The proxies' decisions, replayed against the load patterns that they answer.
+//! The decisions of the proxies: endpoint standing, ranking of candidates, weighted round robin and service times.
 
 use std::time::{Duration, Instant};
 
@@ -12,39 +12,40 @@
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
-const WORK: Duration = Duration::from_millis(400);
+const SERVICE_TIME: Duration = Duration::from_millis(400);
 
 fn rng() -> SmallRng {
     SmallRng::seed_from_u64(7)
 }
 
-// Suspicion
+// Endpoint standing
 
-/// How one answer of an endpoint came about.
+/// One answer of an endpoint.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     failed: bool,
     took: Duration,
 }
 
-/// A healthy endpoint fails one answer in eighty after working on it; one in a gray spell fails
-/// nine in ten within a millisecond.
+/// A healthy endpoint fails one request in eighty after the usual service time; one with a gray failure fails nine in
+/// ten within a millisecond.
 fn answer(gray: bool, rng: &mut impl Rng) -> Answer {
     match gray {
         true if rng.random_bool(0.9) => Answer { failed: true, took: MS },
-        true | false => Answer { failed: rng.random_bool(0.0125), took: WORK },
+        true | false => Answer { failed: rng.random_bool(0.0125), took: SERVICE_TIME },
     }
 }
 
 fn sample(it: Answer) -> AnswerSample {
-    if it.failed { AnswerSample::from_failure(it.took, Some(WORK)) } else { AnswerSample::Good }
+    if it.failed { AnswerSample::from_failure(it.took, Some(SERVICE_TIME)) } else { AnswerSample::Good }
 }
 
-/// Replays an endpoint with spells of 12 s, three in ten of them gray, at 8 requests a second;
-/// returns work lost that must not repeat, and the share of healthy time under suspicion.
-fn replay_spells(judge: impl Fn(Answer) -> AnswerSample) -> (u32, f64) {
+/// Simulates an endpoint at eight requests a second in periods of 12 s, three in ten of them with a gray failure.
+/// Returns how many non-idempotent requests failed, and the fraction of the healthy time in which the endpoint was a
+/// suspect.
+fn simulate_gray_failures(classify: impl Fn(Answer) -> AnswerSample) -> (u32, f64) {
     let (mut rng, start) = (rng(), Instant::now());
-    let (mut record, mut lost) = (StandingTracker::default(), 0);
+    let (mut tracker, mut lost) = (StandingTracker::default(), 0);
     let (mut healthy, mut suspected) = (0u32, 0u32);
     for at in 0..8 * 12 * 100 {
         let now = start + Duration::from_millis(125) * at;
@@ -52,30 +53,30 @@
         let idempotent = at % 2 == 0;
         if !gray {
             healthy += 1;
-            suspected += u32::from(record.standing() == EndpointStanding::Suspect);
+            suspected += u32::from(tracker.standing() == EndpointStanding::Suspect);
         }
-        if !record.admits(EndpointStanding::Clean, idempotent, 0, now) {
+        if !tracker.admits(EndpointStanding::Clean, idempotent, 0, now) {
             continue;
         }
-        record.record_start(now);
+        tracker.record_start(now);
         let answer = answer(gray, &mut rng);
         lost += u32::from(answer.failed && !idempotent);
-        record.record_sample(judge(answer), now, now);
+        tracker.record_sample(classify(answer), now, now);
     }
     (lost, f64::from(suspected) / f64::from(healthy))
 }
 
 #[test]
-fn gray_spells_cost_little_and_healthy_endpoints_are_seldom_suspected() {
-    let (lost, suspected) = replay_spells(sample);
-    let (lost_before, suspected_before) =
-        replay_spells(|it| if it.failed { AnswerSample::HardFailure } else { AnswerSample::Good });
-
-    assert!(lost <= 55, "{lost} pieces of work lost in 100 spells");
-    assert!(suspected < 0.06, "healthy, and under suspicion {suspected:.3} of the time");
-    // One failure of any kind, as at first: about the same loss, and several times the suspicion.
-    assert!(suspected_before > 2.0 * suspected, "{suspected_before:.3} against {suspected:.3}");
-    assert!(lost <= lost_before + 10, "{lost} against {lost_before}");
+fn gray_failures_lose_few_requests_and_healthy_endpoints_are_rarely_suspects() {
+    let (lost, suspected) = simulate_gray_failures(sample);
+    let (lost_all_hard, suspected_all_hard) =
+        simulate_gray_failures(|it| if it.failed { AnswerSample::HardFailure } else { AnswerSample::Good });
+
+    assert!(lost <= 55, "{lost} requests lost in 100 periods");
+    assert!(suspected < 0.06, "a suspect for {suspected:.3} of the healthy time");
+    // If every failure counted as a hard one, healthy endpoints would be suspects much more often.
+    assert!(suspected_all_hard > 2.0 * suspected, "{suspected_all_hard:.3} against {suspected:.3}");
+    assert!(lost <= lost_all_hard + 10, "{lost} against {lost_all_hard}");
 }
 
 #[rstest]
@@ -96,90 +97,94 @@
 #[case(&[AnswerSample::SoftFailure, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Suspect)]
 #[case(&[AnswerSample::HardFailure, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Suspect)]
 #[case(&[AnswerSample::Working, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::SoftFailure], EndpointStanding::Suspect)]
-fn suspicion_begins_with_certainty_or_two_doubts_and_ends_with_three_good_answers(
+fn one_hard_or_two_soft_failures_make_a_suspect_and_three_good_answers_clear_it(
     #[case] samples: &[AnswerSample],
     #[case] standing: EndpointStanding,
 ) {
     let now = Instant::now();
-    let mut record = StandingTracker::default();
+    let mut tracker = StandingTracker::default();
 
     for it in samples {
-        record.record_sample(*it, now, now);
+        tracker.record_sample(*it, now, now);
     }
 
-    assert_eq!(record.standing(), standing);
+    assert_eq!(tracker.standing(), standing);
 }
 
 #[test]
-fn a_suspect_gets_one_trial_at_a_time_and_only_idempotent_work() {
+fn a_suspect_gets_idempotent_trials_one_at_a_time_or_any_request_after_a_long_pause() {
     let now = Instant::now();
-    let mut record = StandingTracker::default();
-    record.record_sample(AnswerSample::HardFailure, now, now);
-    let rested = now + Duration::from_secs(1);
-
-    assert!(!record.admits(EndpointStanding::Clean, true, 0, now), "it rests first");
-    assert!(record.admits(EndpointStanding::Clean, true, 0, rested));
-    record.record_start(rested);
-    assert!(!record.admits(EndpointStanding::Clean, true, 1, rested), "one at a time");
+    let mut tracker = StandingTracker::default();
+    tracker.record_sample(AnswerSample::HardFailure, now, now);
+    let after_backoff = now + Duration::from_secs(1);
+
+    assert!(!tracker.admits(EndpointStanding::Clean, true, 0, now), "no trial during the backoff");
+    assert!(tracker.admits(EndpointStanding::Clean, true, 0, after_backoff));
+    tracker.record_start(after_backoff);
+    assert!(!tracker.admits(EndpointStanding::Clean, true, 1, after_backoff), "one trial at a time");
     assert!(
-        record.admits(EndpointStanding::Clean, true, 1, rested + Duration::from_millis(500)),
-        "it did not fail fast"
+        tracker.admits(EndpointStanding::Clean, true, 1, after_backoff + Duration::from_millis(500)),
+        "the running trial did not fail fast"
     );
-    assert!(!record.admits(EndpointStanding::Clean, true, 4, rested + Duration::from_millis(500)), "it may hang");
-    assert!(!record.admits(EndpointStanding::Clean, false, 0, rested), "what must not repeat goes elsewhere");
-    record.record_sample(AnswerSample::Good, rested, rested);
-    assert!(record.admits(EndpointStanding::Clean, true, 1, rested), "a good answer allows one more");
-    assert!(record.admits(EndpointStanding::Suspect, false, 9, now), "where all are suspect, suspicion means nothing");
-    assert!(!record.admits(EndpointStanding::Declining, false, 0, rested));
-    let untested = rested + Duration::from_secs(2);
-    assert!(record.admits(EndpointStanding::Clean, false, 0, untested), "nothing else was a trial for long");
-    record.record_start(untested);
     assert!(
-        !record.admits(EndpointStanding::Clean, false, 1, untested + Duration::from_secs(1)),
-        "one trial is enough"
+        !tracker.admits(EndpointStanding::Clean, true, 4, after_backoff + Duration::from_millis(500)),
+        "the endpoint may hang"
+    );
+    assert!(!tracker.admits(EndpointStanding::Clean, false, 0, after_backoff), "a non-idempotent request is no trial");
+    tracker.record_sample(AnswerSample::Good, after_backoff, after_backoff);
+    assert!(tracker.admits(EndpointStanding::Clean, true, 1, after_backoff), "a good answer allows one more trial");
+    assert!(tracker.admits(EndpointStanding::Suspect, false, 9, now), "the request accepts a suspect");
+    assert!(!tracker.admits(EndpointStanding::Declining, false, 0, after_backoff));
+    let long_after = after_backoff + Duration::from_secs(2);
+    assert!(tracker.admits(EndpointStanding::Clean, false, 0, long_after), "there was no trial for long");
+    tracker.record_start(long_after);
+    assert!(
+        !tracker.admits(EndpointStanding::Clean, false, 1, long_after + Duration::from_secs(1)),
+        "another trial is running"
     );
 }
 
-/// An endpoint with four pieces of work under way turns gray for 12 s: work comes, eight pieces a second, a quarter
-/// of it idempotent; returns what is lost of the rest. What was under way ends well meanwhile.
-fn replay_turn(begun_before: bool) -> u32 {
+/// Simulates an endpoint that has a gray failure for 12 s while four requests end well. Eight requests a second arrive,
+/// a quarter of them idempotent, and all fail. Returns how many non-idempotent requests fail. The four requests started
+/// before the failure if `started_before`, otherwise during it.
+fn simulate_onset_of_gray_failure(started_before: bool) -> u32 {
     let start = Instant::now();
-    let (mut record, mut lost) = (StandingTracker::default(), 0);
+    let (mut tracker, mut lost) = (StandingTracker::default(), 0);
     for at in 0..96u32 {
         let now = start + Duration::from_millis(125) * at;
         if (1..5).contains(&at) {
-            let begun = if begun_before { now - WORK } else { now };
-            record.record_sample(AnswerSample::Good, begun, now);
+            let started_at = if started_before { now - SERVICE_TIME } else { now };
+            tracker.record_sample(AnswerSample::Good, started_at, now);
         }
         let idempotent = at % 4 == 1;
-        if !record.admits(EndpointStanding::Clean, idempotent, 0, now) {
+        if !tracker.admits(EndpointStanding::Clean, idempotent, 0, now) {
             continue;
         }
-        record.record_start(now);
+        tracker.record_start(now);
         lost += u32::from(!idempotent);
-        record.record_sample(sample(Answer { failed: true, took: MS }), now, now);
+        tracker.record_sample(sample(Answer { failed: true, took: MS }), now, now);
     }
     lost
 }
 
 #[test]
-fn work_begun_before_the_suspicion_does_not_clear_it() {
-    let lost_before = replay_turn(false);
+fn requests_started_before_the_first_failure_do_not_clear_a_suspect() {
+    let lost_if_cleared = simulate_onset_of_gray_failure(false);
 
-    let lost = replay_turn(true);
+    let lost = simulate_onset_of_gray_failure(true);
 
-    assert_eq!(lost, 1, "the failure that made it suspect");
-    assert!(lost_before > lost, "{lost_before} lost while any good answer clears");
+    assert_eq!(lost, 1, "only the failure that made the endpoint a suspect");
+    assert!(lost_if_cleared > lost, "{lost_if_cleared} lost if the answers clear the suspect");
 }
 
-// Placing
+// Ranking of candidates
 
 fn candidate(same_data_centre: bool, standing: EndpointStanding, load: u32) -> PlacementCandidate {
     PlacementCandidate { same_data_centre, standing, path_backing_off: false, load, slots: 4 }
 }
 
 #[test]
-fn near_and_idle_endpoints_are_asked_first_and_full_ones_last() {
+fn idle_endpoints_of_the_same_data_centre_rank_first_and_full_ones_last() {
     let candidates = [
         candidate(false, EndpointStanding::Clean, 0),
         candidate(true, EndpointStanding::Clean, 4),
@@ -192,29 +197,26 @@
 }
 
 #[test]
-fn work_that_must_not_repeat_seldom_asks_a_suspect_while_one_is_clean() {
+fn non_idempotent_requests_rarely_ask_a_suspect_if_clean_endpoints_exist() {
     let mut candidates = vec![candidate(false, EndpointStanding::Clean, 9); 5];
     candidates.push(candidate(true, EndpointStanding::Suspect, 0));
     let mut rng = rng();
 
-    let orders: Vec<_> = (0..1_000).map(|_| rank_candidates(&candidates, false, &mut rng)).collect();
+    let rankings: Vec<_> = (0..1_000).map(|_| rank_candidates(&candidates, false, &mut rng)).collect();
 
-    assert!(orders.iter().all(|it| it.worst_accepted == EndpointStanding::Clean && !it.ranked[..3].contains(&5)));
-    let asked = orders.iter().filter(|it| it.ranked.contains(&5)).count();
-    assert!(
-        (250..350).contains(&asked),
-        "{asked} of 1000; the suspect's guard refuses unless nobody tried it for long"
-    );
+    assert!(rankings.iter().all(|it| it.worst_accepted == EndpointStanding::Clean && !it.ranked[..3].contains(&5)));
+    let asked = rankings.iter().filter(|it| it.ranked.contains(&5)).count();
+    assert!((250..350).contains(&asked), "{asked} of 1000 rankings contain the suspect");
 }
 
 #[test]
-fn when_all_are_suspect_suspicion_means_nothing() {
+fn suspects_are_accepted_if_all_endpoints_are_suspects() {
     let candidates = [candidate(true, EndpointStanding::Suspect, 0), candidate(true, EndpointStanding::Suspect, 0)];
 
-    let order = rank_candidates(&candidates, false, &mut rng());
+    let ranking = rank_candidates(&candidates, false, &mut rng());
 
-    assert_eq!(order.worst_accepted, EndpointStanding::Suspect);
-    assert_eq!(order.ranked.len(), 2);
+    assert_eq!(ranking.worst_accepted, EndpointStanding::Suspect);
+    assert_eq!(ranking.ranked.len(), 2);
 }
 
 #[rstest]
@@ -224,63 +226,67 @@
 #[case(0, 1, 7, EndpointStanding::Declining)]
 #[case(1, 0, 7, EndpointStanding::Clean)]
 #[case(0, 0, 8, EndpointStanding::Suspect)]
-fn what_is_left_of_a_service_bears_its_load(
+fn the_worst_accepted_standing_leaves_a_service_enough_slots(
     #[case] clean: usize,
     #[case] declining: usize,
     #[case] suspect: usize,
-    #[case] accepts: EndpointStanding,
+    #[case] worst_accepted: EndpointStanding,
 ) {
     let mut candidates = vec![candidate(true, EndpointStanding::Clean, 0); clean];
     candidates.extend(vec![candidate(true, EndpointStanding::Declining, 0); declining]);
     candidates.extend(vec![candidate(true, EndpointStanding::Suspect, 0); suspect]);
 
-    let order = rank_candidates(&candidates, false, &mut rng());
+    let ranking = rank_candidates(&candidates, false, &mut rng());
 
-    assert_eq!(order.worst_accepted, accepts);
-    let beyond = order.ranked.iter().filter(|it| candidates[**it].standing > accepts).count();
-    assert!(beyond <= 1, "one at most, as a trial");
+    assert_eq!(ranking.worst_accepted, worst_accepted);
+    let not_accepted = ranking.ranked.iter().filter(|it| candidates[**it].standing > worst_accepted).count();
+    assert!(not_accepted <= 1, "at most one endpoint is asked for a trial");
 }
 
 #[test]
-fn suspects_are_tried_with_some_idempotent_work() {
+fn some_idempotent_requests_ask_a_suspect_first() {
     let candidates = [candidate(true, EndpointStanding::Suspect, 0), candidate(true, EndpointStanding::Clean, 0)];
     let mut rng = rng();
 
     let tried = (0..1_000).filter(|_| rank_candidates(&candidates, true, &mut rng).ranked[0] == 0).count();
 
-    assert!((300..500).contains(&tried), "{tried} of 1000");
+    assert!((300..500).contains(&tried), "{tried} of 1000 rankings");
 }
 
-// Shares and pace
+// Weighted round robin and service times
 
 #[rstest]
 #[case(&[90.0, 10.0], 100, &[90, 10])]
 #[case(&[1.0, 1.0, 2.0], 40, &[10, 10, 20])]
 #[case(&[0.0, 5.0], 7, &[0, 7])]
-fn shares_are_kept_over_any_run(#[case] weights: &[f64], #[case] requests: usize, #[case] wanted: &[usize]) {
-    let mut shares = WeightedRoundRobin::new(weights.to_vec(), &mut rng());
-    let mut dealt = vec![0usize; weights.len()];
+fn weighted_round_robin_stays_within_one_request_of_the_weights(
+    #[case] weights: &[f64],
+    #[case] requests: usize,
+    #[case] expected: &[usize],
+) {
+    let mut round_robin = WeightedRoundRobin::new(weights.to_vec(), &mut rng());
+    let mut picked = vec![0usize; weights.len()];
 
     for _ in 0..requests {
-        dealt[shares.pick()] += 1;
+        picked[round_robin.pick()] += 1;
     }
 
-    for (dealt, wanted) in dealt.iter().zip(wanted) {
-        assert!(dealt.abs_diff(*wanted) <= 1, "{dealt} where {wanted} are due");
+    for (picked, expected) in picked.iter().zip(expected) {
+        assert!(picked.abs_diff(*expected) <= 1, "picked {picked} times instead of {expected}");
     }
 }
 
 #[test]
-fn the_pace_of_a_class_follows_its_durations() {
-    let mut pace = ServiceTimes::default();
+fn the_mean_service_time_of_a_class_follows_its_requests() {
+    let mut service_times = ServiceTimes::default();
 
     for _ in 0..100 {
-        pace.record("a", 100 * MS);
-        pace.record("b", WORK);
+        service_times.record("a", 100 * MS);
+        service_times.record("b", SERVICE_TIME);
     }
 
-    assert_eq!(pace.mean("c"), None);
-    assert!(pace.mean("a").expect("it is known").abs_diff(100 * MS) < MS);
-    pace.retain(|it| it == "a");
-    assert_eq!(pace.mean("b"), None);
+    assert_eq!(service_times.mean("c"), None);
+    assert!(service_times.mean("a").expect("class a has requests").abs_diff(100 * MS) < MS);
+    service_times.retain(|it| it == "a");
+    assert_eq!(service_times.mean("b"), None);
 }
