--- a/src/decide/endpoint_health.rs
+++ b/src/decide/endpoint_health.rs
@@ -28,7 +28,7 @@
     AnnouncedServing,
     /// The endpoint announced that it is shutting down.
     AnnouncedLeaving,
-    /// The endpoint missed its heartbeats.
+    /// The endpoint sent no announcement for too long.
     Silent,
     /// The evidence is below half of the ejection threshold.
     EvidenceClear,
--- a/src/decide/guard_retry_budget.rs
+++ b/src/decide/guard_retry_budget.rs
@@ -1,6 +1,6 @@
 //! One guard's part of a service's retry budget, as a token bucket: first arrivals add a share of a token, retries take
-//! one. It prevents retry storms when many endpoints fail or shed load. Retries in any time window are at most the share
-//! of its first arrivals plus the bucket size, so the sum over the service's guards keeps the limit without messages.
+//! one. It prevents retry storms when many endpoints fail or shed load. In any time window, a guard's retries are at
+//! most that share of its first arrivals plus the bucket size, so all guards together keep the limit without messages.
 
 use std::{
     num::NonZeroUsize,
@@ -58,8 +58,8 @@
 
     /// Sets the number of guards that share the slack of the service.
     pub fn set_guard_count(&mut self, guards: usize) {
-        let before = self.guards.replace(NonZeroUsize::new(guards).unwrap_or(NonZeroUsize::MIN));
-        match before {
+        let previous = self.guards.replace(NonZeroUsize::new(guards).unwrap_or(NonZeroUsize::MIN));
+        match previous {
             None => self.tokens += (self.size() * INITIAL_FILL).max(1.0),
             // The tokens shrink with the guard's share, or a guard that discovers the others one by one would keep
             // too many.
@@ -69,20 +69,20 @@
         self.tokens = self.tokens.min(self.size());
     }
 
-    /// Adds or takes tokens for an arrival; `repeat_share` is the fraction of it that counts as a retry, 0 to 1.
-    pub fn record_arrival(&mut self, repeat_share: f64) {
-        self.add_tokens(self.tokens_of_arrival(repeat_share));
+    /// Adds or takes tokens for an arrival; `retry_share` is the fraction of it that counts as a retry, 0 to 1.
+    pub fn record_arrival(&mut self, retry_share: f64) {
+        self.add_tokens(self.tokens_of_arrival(retry_share));
     }
 
     /// Reverts [`record_arrival`](Self::record_arrival) for a reserved slot that was not used. Under load, two guards
     /// often reserve a slot for the same request.
-    pub fn undo_arrival(&mut self, repeat_share: f64) {
-        self.add_tokens(-self.tokens_of_arrival(repeat_share));
+    pub fn undo_arrival(&mut self, retry_share: f64) {
+        self.add_tokens(-self.tokens_of_arrival(retry_share));
     }
 
     /// Tokens that an arrival adds; negative if it takes some.
-    fn tokens_of_arrival(&self, repeat_share: f64) -> f64 {
-        self.config.ratio * (1.0 - repeat_share) - repeat_share
+    fn tokens_of_arrival(&self, retry_share: f64) -> f64 {
+        self.config.ratio * (1.0 - retry_share) - retry_share
     }
 
     /// Records that a retry was requested, whether it is allowed or not. This reserves tokens for its rank.
--- a/tests/gray_failures.rs
+++ b/tests/gray_failures.rs
@@ -68,7 +68,7 @@
         endpoints.iter().map(candidate).collect()
     }
 
-    /// Returns the endpoint that admits the request, other than those already tried.
+    /// Returns an endpoint that admits the request and was not tried before.
     fn place(&mut self, trial: bool, tried: &[usize]) -> Option<usize> {
         let untried: Vec<usize> = (0..ENDPOINTS).filter(|it| !tried.contains(it)).collect();
         let candidates = self.candidates(&untried);
@@ -91,8 +91,8 @@
         result
     }
 
-    /// Serves one request with up to [`MAX_ATTEMPTS`]; returns whether it succeeded. `trial` tells from the number of
-    /// attempts so far whether an idempotent request may be a trial.
+    /// Serves one request with up to [`MAX_ATTEMPTS`]; returns whether it succeeded. `trial` returns whether an
+    /// idempotent request may be a trial after a number of attempts.
     fn serve(&mut self, idempotent: bool, trial: impl Fn(u32) -> bool) -> bool {
         let mut tried = Vec::new();
         while (tried.len() as u32) < MAX_ATTEMPTS {
