--- a/src/decide/incarnation.rs
+++ b/src/decide/incarnation.rs
@@ -1,104 +1,105 @@
-//! What an announcement says of the endpoint beside this proxy: the same life of it, a later one, or an earlier one.
-//!
-//! Load pattern: endpoints crash and start again, some under the id that they had, and their announcements come
-//! seconds late, or from someone else. An earlier life must neither come back nor end the later one; a later one must
-//! get work with its first announcement.
+//! Decides whether an announcement comes from the known incarnation of an endpoint, a newer one or a former one, so
+//! that late announcements neither revive an ended incarnation nor end its successor.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A start that lies further ahead than this by the VM's clock is not believed: clocks are set wrong by seconds, and
-/// a life that claims to be the last there will ever be would keep all later ones out.
-const AHEAD: Duration = Duration::from_secs(60);
+/// Start times further in the future than this are dropped: with one of them, no later incarnation would count as
+/// newer.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
-/// Milliseconds since 1970 by the VM's clock.
+/// Milliseconds since the Unix epoch by the VM's clock.
 pub type UnixMillis = u64;
 
-/// Names one life of an endpoint.
+/// Identifies one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointId {
-    /// What the endpoint calls itself; it may have had a life under this name before.
+    /// The name that the endpoint announces; its incarnations may share it.
     pub name: Box<str>,
-    /// When this life began; `None` if it has not said so.
+    /// Start of the incarnation; `None` if the endpoint doesn't announce it.
     #[serde(rename = "born")]
     pub started_at: Option<UnixMillis>,
 }
 
 impl EndpointId {
-    /// With a start that is believed only if it is not far in the future.
+    /// Drops `started_at` if it lies more than a minute after `now`.
     pub fn new(name: &str, started_at: Option<UnixMillis>, now: UnixMillis) -> Self {
-        let ahead = UnixMillis::try_from(AHEAD.as_millis()).unwrap_or(UnixMillis::MAX);
-        Self { name: name.into(), started_at: started_at.filter(|it| *it <= now.saturating_add(ahead)) }
+        let max_skew = UnixMillis::try_from(MAX_CLOCK_SKEW.as_millis()).unwrap_or(UnixMillis::MAX);
+        Self { name: name.into(), started_at: started_at.filter(|it| *it <= now.saturating_add(max_skew)) }
     }
 }
 
-/// The life that is known.
+/// The incarnation that a guard has on record.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownIncarnation<'a> {
-    /// Which.
+    /// Its name and start time.
     pub id: &'a EndpointId,
-    /// Of its last announcement.
+    /// Sequence number of its last announcement.
     pub sequence: u64,
-    /// Whether it takes work.
+    /// Whether it takes requests.
     pub accepts_work: bool,
-    /// How long ago it was heard, in the rhythm of its announcements.
+    /// Time since its last announcement, in heartbeat intervals.
     pub missed_heartbeats: f64,
 }
 
-/// What an announcement means.
+/// What an announcement means for the known incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncementClass {
-    /// It says nothing new, or is a former life's.
+    /// A duplicate, a late announcement, or one of a former incarnation.
     Stale,
-    /// It is the known life's, and newer than what it said before.
+    /// A newer announcement of the known incarnation.
     Update,
-    /// It is a later life's; the known one is over.
+    /// A newer incarnation, which replaces the known one.
     NewIncarnation,
-    /// It names another endpoint while the known one seems to be alive: ask at the address.
+    /// Another endpoint, although the known one seems to be alive; a probe of the address has to confirm it.
     Unconfirmed,
 }
 
-/// An endpoint that was not heard for this long may have ended without a word.
-const QUIET_BEATS: f64 = 2.0;
-/// An endpoint that was not heard for this long has ended: announcements come late, but not by as much.
+/// Missed heartbeats after which an endpoint may have crashed.
+const MAYBE_DEAD_AFTER_HEARTBEATS: f64 = 2.0;
+/// Missed heartbeats after which an endpoint counts as dead; announcements are late by less than this.
 pub const DEAD_AFTER_HEARTBEATS: f64 = 4.0;
 
-/// Judges an announcement of `told` with its `sequence`.
+/// Classifies the announcement number `sequence` of the incarnation `announced`.
 pub fn classify_announcement(
     known: Option<KnownIncarnation<'_>>,
     retired: &[EndpointId],
-    told: &EndpointId,
+    announced: &EndpointId,
     sequence: u64,
 ) -> AnnouncementClass {
     let Some(known) = known else {
-        return if is_retired(retired, told) { AnnouncementClass::Stale } else { AnnouncementClass::NewIncarnation };
+        return if is_retired(retired, announced) {
+            AnnouncementClass::Stale
+        } else {
+            AnnouncementClass::NewIncarnation
+        };
     };
-    let earlier = told.started_at.zip(known.id.started_at).is_some_and(|(told, known)| told < known);
-    let later = told.started_at.zip(known.id.started_at).is_some_and(|(told, known)| told > known);
+    let earlier = announced.started_at.zip(known.id.started_at).is_some_and(|(announced, known)| announced < known);
+    let later = announced.started_at.zip(known.id.started_at).is_some_and(|(announced, known)| announced > known);
     if earlier && known.missed_heartbeats >= DEAD_AFTER_HEARTBEATS {
-        // The clock was set back between the two starts.
+        // The VM's clock was set back between the two starts.
         return AnnouncementClass::NewIncarnation;
     }
-    // The known life itself may have followed one whose start seems later.
-    if earlier || (told != known.id && is_retired(retired, told)) {
+    // The known incarnation itself can look retired, if the clock was set back before it started.
+    if earlier || (announced != known.id && is_retired(retired, announced)) {
         return AnnouncementClass::Stale;
     }
-    if told.name == known.id.name {
+    if announced.name == known.id.name {
         return match (later, sequence > known.sequence) {
             (true, _) => AnnouncementClass::NewIncarnation,
             (false, true) => AnnouncementClass::Update,
             (false, false) => AnnouncementClass::Stale,
         };
     }
-    if known.accepts_work && known.missed_heartbeats < QUIET_BEATS {
+    if known.accepts_work && known.missed_heartbeats < MAYBE_DEAD_AFTER_HEARTBEATS {
         AnnouncementClass::Unconfirmed
     } else {
         AnnouncementClass::NewIncarnation
     }
 }
 
-/// Whether a life is over, or is earlier than one under its name that is.
+/// Whether `id` is in `retired`, or started no later than a retired incarnation of the same name.
 pub fn is_retired(retired: &[EndpointId], id: &EndpointId) -> bool {
     retired.iter().any(|it| it.name == id.name && id.started_at <= it.started_at)
 }
