--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -1,67 +1,63 @@
-//! Whether a request that begins on a VM was sent by a caller, or by work that runs at the VM's endpoint.
-//!
-//! Load pattern: endpoints at their slots, whose work can't end before its own calls were answered. Calls must
-//! go first, and must not be counted as new requests where repeated work made them; but nothing on a request
-//! says that it is a call. What is promised: an endpoint calls through the proxy beside it, only while it
-//! works, and a call expires no later than the work that made it. So a request that expires later than all
-//! work here was certainly sent by a caller. Of a route that callers use, many requests are certain; of one that
-//! only endpoints call, none. The guards of a route's service hear of all its requests, so they count, and tell each
-//! ingress that asks: an ingress beside an endpoint with long work would seldom find out by itself.
+//! Decides whether a request that a proxy receives on its VM comes from a caller or is a nested call of a request
+//! running at the VM's endpoint. Nested calls go first: a running request keeps its slot until they are answered, so
+//! without this rule endpoints with all slots taken would wait for each other.
 
 use std::time::{Duration, Instant};
 
-/// How much later than the work that made it a call may seem to expire: its time is told in whole
-/// milliseconds, and what it spends on its way here on a slow VM is not taken off.
-const LATE: Duration = Duration::from_millis(100);
+/// How much later than its parent's a nested call's deadline may seem: timeouts are sent in whole milliseconds, and the
+/// call's time in transit is not subtracted.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Work that may be running at the endpoint.
+/// A request that may be running at the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunningWork<'a> {
-    /// Names it at its guard.
+    /// Its grant's id at the guard.
     pub id: u64,
-    /// Its class.
+    /// Its route.
     pub route: &'a str,
-    /// The endpoint was told to stop by then.
+    /// The deadline given to the endpoint.
     pub deadline: Instant,
-    /// How much of it counts as a repeat, 0 to 1.
+    /// Share of it that counts as a retry, from 0 to 1.
     pub repeat_share: f64,
 }
 
-/// Where a request began.
+/// Where a request comes from.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOrigin {
-    /// With a caller.
+    /// A caller.
     Caller {
-        /// No work that runs at the VM's endpoint can have made it; else its route alone says so.
+        /// Whether no running request can have made it; otherwise it is taken for a caller's because callers use the
+        /// route.
         certain: bool,
     },
-    /// With work that runs at the VM's endpoint.
+    /// A request that runs at the VM's endpoint.
     NestedCall {
-        /// The work that may have made it; not empty.
+        /// Ids of the running requests that may have made it; not empty.
         parents: Vec<u64>,
-        /// How likely that work is a repeat, so that its calls count as repeats where they go; 0 to 1.
+        /// Mean retry share of the parents, from 0 to 1, which the nested call inherits.
         repeat_share: f64,
     },
 }
 
-/// The certain requests of callers among a route's requests; older ones fade.
+/// Decaying counts of a route's requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Evidence {
+struct RouteCounts {
+    /// Those that certainly come from callers.
     certain: f64,
     all: f64,
 }
 
-/// After so many requests, what was counted of a route weighs half.
-const MEMORY: f64 = 512.0;
-/// Fewer requests say nothing of a route.
-const ENOUGH: f64 = 8.0;
-/// A route is callers' if this part of its requests was certain to be. In recorded load it is above an eighth for
-/// each class of callers; calls seem to be callers' only when their parent's end was lost.
-const CERTAIN_PART: f64 = 0.03;
+/// When a route's count of requests reaches this, its counts are halved.
+const DECAY_AT: f64 = 512.0;
+/// Requests needed before a route is classified.
+const MIN_REQUESTS: f64 = 8.0;
+/// Callers use a route if at least this share of its requests certainly comes from callers. It is above zero because a
+/// nested call seems to be a caller's if the end of its parent was lost.
+const MIN_CERTAIN_SHARE: f64 = 0.03;
 
-impl Evidence {
+impl RouteCounts {
     fn record(&mut self, certain: bool) {
-        if self.all >= MEMORY {
+        if self.all >= DECAY_AT {
             self.certain /= 2.0;
             self.all /= 2.0;
         }
@@ -69,74 +65,80 @@
         self.certain += f64::from(u8::from(certain));
     }
 
-    /// Whether callers use the route, if that can be said.
+    /// Whether callers use the route; `None` after too few requests.
     fn used_by_callers(&self) -> Option<bool> {
-        (self.all >= ENOUGH).then_some(self.certain >= self.all * CERTAIN_PART)
+        (self.all >= MIN_REQUESTS).then_some(self.certain >= self.all * MIN_CERTAIN_SHARE)
     }
 }
 
-/// What is known of the use of routes.
+/// Tracks which routes callers use, and classifies requests by it.
+///
+/// Requests don't say whether they are nested calls. An endpoint sends nested calls through the proxy on its VM,
+/// while it runs the parent, and with a deadline no later than the parent's. So a request with a later deadline than
+/// all running requests certainly comes from a caller, and callers use the routes that have enough of these. The
+/// guards of a service count them and report the result to the ingresses, which may see too few.
 #[derive(Debug, Clone, Default)]
 pub struct OriginTracker {
-    /// Routes whose requests ask for places here; sorted.
-    seen: Vec<(Box<str>, Evidence)>,
-    /// Whether callers use a route, as last told by a guard of its service, or as a request of this VM proved;
+    /// Counts of the routes requested at this guard; sorted by route.
+    counts: Vec<(Box<str>, RouteCounts)>,
+    /// Whether callers use a route, as last reported by a guard of its service or shown by a request of this VM;
     /// sorted by route.
-    told: Vec<(Box<str>, bool)>,
+    reported: Vec<(Box<str>, bool)>,
 }
 
 impl OriginTracker {
-    /// Judges a request of this VM, of `route`, that expires at `until`, with all work that may be running here.
-    pub fn classify(&mut self, route: &str, until: Instant, works: &[RunningWork<'_>]) -> RequestOrigin {
-        let may_have_made_it = |it: &&RunningWork<'_>| it.deadline + LATE >= until;
-        let parents: Vec<&RunningWork<'_>> = works.iter().filter(may_have_made_it).collect();
+    /// Classifies a request of this VM to `route` that expires at `deadline`; `running` are all requests that may be
+    /// running at the endpoint.
+    pub fn classify(&mut self, route: &str, deadline: Instant, running: &[RunningWork<'_>]) -> RequestOrigin {
+        let may_be_parent = |it: &&RunningWork<'_>| it.deadline + DEADLINE_TOLERANCE >= deadline;
+        let parents: Vec<&RunningWork<'_>> = running.iter().filter(may_be_parent).collect();
         if parents.is_empty() {
             self.set_used_by_callers(route, true);
             return RequestOrigin::Caller { certain: true };
         }
-        if self.was_told(route) {
+        if self.is_reported(route) {
             return RequestOrigin::Caller { certain: false };
         }
-        let repeats: f64 = parents.iter().map(|it| it.repeat_share).sum();
+        let retry_shares: f64 = parents.iter().map(|it| it.repeat_share).sum();
         RequestOrigin::NestedCall {
-            repeat_share: repeats / parents.len() as f64,
+            repeat_share: retry_shares / parents.len() as f64,
             parents: parents.into_iter().map(|it| it.id).collect(),
         }
     }
 
-    /// Counts a request that asks for a place here.
+    /// Counts a request for a grant at this guard; `certain` if it certainly comes from a caller.
     pub fn record(&mut self, route: &str, certain: bool) {
-        let at = match self.seen.binary_search_by(|it| (*it.0).cmp(route)) {
+        let at = match self.counts.binary_search_by(|it| (*it.0).cmp(route)) {
             Ok(at) => at,
             Err(at) => {
-                self.seen.insert(at, (route.into(), Evidence::default()));
+                self.counts.insert(at, (route.into(), RouteCounts::default()));
                 at
             }
         };
-        self.seen[at].1.record(certain);
+        self.counts[at].1.record(certain);
     }
 
-    /// Whether callers use `route`, if enough of its requests asked for places here.
+    /// Whether callers use `route`, by the requests counted at this guard; `None` after too few of them.
     pub fn used_by_callers(&self, route: &str) -> Option<bool> {
-        let at = self.seen.binary_search_by(|it| (*it.0).cmp(route)).ok()?;
-        self.seen[at].1.used_by_callers()
+        let at = self.counts.binary_search_by(|it| (*it.0).cmp(route)).ok()?;
+        self.counts[at].1.used_by_callers()
     }
 
-    /// Takes in whether callers use `route`, as a guard of its service says.
+    /// Sets whether callers use `route`, as reported by a guard of its service.
     pub fn set_used_by_callers(&mut self, route: &str, is_callers: bool) {
-        match self.told.binary_search_by(|it| (*it.0).cmp(route)) {
-            Ok(at) => self.told[at].1 = is_callers,
-            Err(at) => self.told.insert(at, (route.into(), is_callers)),
+        match self.reported.binary_search_by(|it| (*it.0).cmp(route)) {
+            Ok(at) => self.reported[at].1 = is_callers,
+            Err(at) => self.reported.insert(at, (route.into(), is_callers)),
         }
     }
 
-    /// Forgets routes that `keep` does not name.
+    /// Drops the routes for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.seen.retain(|it| keep(&it.0));
-        self.told.retain(|it| keep(&it.0));
+        self.counts.retain(|it| keep(&it.0));
+        self.reported.retain(|it| keep(&it.0));
     }
 
-    fn was_told(&self, route: &str) -> bool {
-        self.told.binary_search_by(|it| (*it.0).cmp(route)).is_ok_and(|at| self.told[at].1)
+    fn is_reported(&self, route: &str) -> bool {
+        self.reported.binary_search_by(|it| (*it.0).cmp(route)).is_ok_and(|at| self.reported[at].1)
     }
 }
