--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,118 +1,111 @@
-//! The order in which endpoints are asked for a place.
-//!
-//! Load pattern: few endpoints a service, unlike in speed, in several data centres; what is known of
-//! their load is a moment old. Near ones go first while they are not much fuller, since bytes between
-//! data centres are dear; suspects are tried with work that can be repeated now and then, so that a sound one
-//! comes back within a second or two.
+//! Decides in which order an ingress asks the endpoints of a service, so that bytes stay in the data centre where
+//! possible and requests stay away from full and failing endpoints.
 
 use rand::{Rng, RngExt as _};
 
 use super::suspicion::EndpointStanding;
 
-/// How much fuller, as a share of its slots, a near endpoint may be than a far one.
-const NEAR_BONUS: f32 = 1.0;
-/// How much fuller, as a share of its slots, a clean endpoint may be than one that declines: a decline
-/// costs an arrival and a round trip.
-const DECLINING_MALUS: f32 = 0.5;
-/// Endpoints that decline take any work while less than this part of the slots is clean: what is avoided
-/// then is worth more than the repeats it costs.
-const LEAST_CLEAN: f64 = 0.5;
-/// The spread that keeps ingresses that know the same from choosing the same.
-const JITTER: f32 = 0.15;
-/// The chance that a trial goes to a suspect whose rest is over: at some ten idempotent
-/// requests a second a service and three suspects this tries each about once a second.
-const TRIAL_CHANCE: f64 = 0.4;
+/// How much higher the load of an endpoint in the same data centre may be, as a share of its slots, before one in
+/// another data centre is preferred: traffic between data centres is expensive.
+const REMOTE_PENALTY: f32 = 1.0;
+/// How much higher the load of a clean endpoint may be, as a share of its slots, before a declining one is preferred.
+const DECLINING_PENALTY: f32 = 0.5;
+/// Below this share of clean slots, declining endpoints take any request: the lost capacity outweighs the retries.
+const MIN_CLEAN_SHARE: f64 = 0.5;
+/// Random part of a score; ingresses with the same view would otherwise choose the same endpoint.
+const SCORE_JITTER: f32 = 0.15;
+/// Probability that a request that may be a trial is sent to a suspect first.
+const TRIAL_PROBABILITY: f64 = 0.4;
 
-/// The chance that other work asks a suspect, which takes it only if nothing else was a trial for long.
-const RISK_CHANCE: f64 = 0.3;
-/// How many clean endpoints are asked before that: only where these have no room is it worth the risk to find out
-/// whether there is more.
-const BEFORE_RISK: usize = 3;
+/// Probability that any other request also asks a suspect, which takes it only if it has had no trial for long.
+const FALLBACK_TRIAL_PROBABILITY: f64 = 0.3;
+/// How many endpoints are asked before that suspect: the risk is taken only if these have no free slot.
+const ASKED_BEFORE_FALLBACK_TRIAL: usize = 3;
 
-/// An endpoint that may be asked.
+/// An endpoint that may be asked to run a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementCandidate {
-    /// Whether it is in the chooser's data centre.
+    /// Whether it is in the ingress's data centre.
     pub same_data_centre: bool,
-    /// What is known of its record.
+    /// Its standing as last reported by its guard.
     pub standing: EndpointStanding,
-    /// Whether its guard could not be reached just now.
+    /// Whether the path to its guard is in backoff.
     pub path_backing_off: bool,
-    /// Requests running and waiting there, as last told, with those sent since.
+    /// Requests running and waiting there, as last reported, plus those sent since.
     pub load: u32,
-    /// How much it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
 }
 
-/// The order in which to ask, by place in the list.
+/// The order in which to ask the candidates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CandidateRanking {
-    /// Whom to ask, the best first.
+    /// Indices into the candidates, the best first.
     pub ranked: Vec<usize>,
-    /// Up to this standing endpoints take any work.
+    /// Endpoints of this standing or a better one take any request.
     pub worst_accepted: EndpointStanding,
 }
 
-/// Orders the candidates for one piece of work.
+/// Ranks the candidates for one request.
 ///
-/// Of the suspects, work that [may be a trial](super::suspicion::may_be_trial) asks one only: most of them
-/// rest, and each refusal costs a round trip. Other work seldom does, for suspects that nobody tries.
+/// At most one endpoint worse than `worst_accepted` is included, as each refusal costs a round trip. It is often the
+/// first if the request [may be a trial](super::suspicion::may_be_trial), and seldom included otherwise.
 pub fn rank_candidates(candidates: &[PlacementCandidate], trial: bool, rng: &mut impl Rng) -> CandidateRanking {
-    let worst_accepted = accepted(candidates);
-    let mut ranked = sorted(candidates, |it| it.standing <= worst_accepted, rng);
-    let place = match trial {
-        true if rng.random_bool(TRIAL_CHANCE) => Some(0),
+    let worst_accepted = worst_accepted_standing(candidates);
+    let mut ranked = sorted_by_score(candidates, |it| it.standing <= worst_accepted, rng);
+    let trial_index = match trial {
+        true if rng.random_bool(TRIAL_PROBABILITY) => Some(0),
         true => Some(ranked.len()),
-        false => rng.random_bool(RISK_CHANCE).then_some(ranked.len().min(BEFORE_RISK)),
+        false => rng.random_bool(FALLBACK_TRIAL_PROBABILITY).then_some(ranked.len().min(ASKED_BEFORE_FALLBACK_TRIAL)),
     };
-    if let Some(place) = place {
-        let others = sorted(candidates, |it| it.standing > worst_accepted && !it.path_backing_off, rng);
+    if let Some(trial_index) = trial_index {
+        let others = sorted_by_score(candidates, |it| it.standing > worst_accepted && !it.path_backing_off, rng);
         if !others.is_empty() {
-            let one = others[rng.random_range(0..others.len())];
-            ranked.insert(place, one);
+            let on_trial = others[rng.random_range(0..others.len())];
+            ranked.insert(trial_index, on_trial);
         }
     }
     CandidateRanking { ranked, worst_accepted }
 }
 
-/// Up to which standing endpoints take any work: what is left of a service must still bear its load.
-fn accepted(candidates: &[PlacementCandidate]) -> EndpointStanding {
+/// The worst standing that takes any request, so that enough of the service's slots stay in use.
+fn worst_accepted_standing(candidates: &[PlacementCandidate]) -> EndpointStanding {
     let slots = |standing: EndpointStanding| -> u32 {
         candidates.iter().filter(|it| it.standing == standing && !it.path_backing_off).map(|it| it.slots).sum()
     };
     let (clean, declining) = (slots(EndpointStanding::Clean), slots(EndpointStanding::Declining));
     if clean + declining == 0 {
         EndpointStanding::Suspect
-    } else if f64::from(clean) < f64::from(clean + declining) * LEAST_CLEAN {
+    } else if f64::from(clean) < f64::from(clean + declining) * MIN_CLEAN_SHARE {
         EndpointStanding::Declining
     } else {
         EndpointStanding::Clean
     }
 }
 
-/// The places of those that fit, the best first.
-fn sorted(
+/// The indices of the candidates that pass `filter`, the best first.
+fn sorted_by_score(
     candidates: &[PlacementCandidate],
-    fits: impl Fn(&PlacementCandidate) -> bool,
+    filter: impl Fn(&PlacementCandidate) -> bool,
     rng: &mut impl Rng,
 ) -> Vec<usize> {
-    let fitting = candidates.iter().enumerate().filter(|(_, it)| fits(it));
+    let eligible = candidates.iter().enumerate().filter(|(_, it)| filter(it));
     let mut scored: Vec<(f32, usize)> =
-        fitting.map(|(at, it)| (score(it) + rng.random_range(0.0..JITTER), at)).collect();
+        eligible.map(|(index, it)| (score(it) + rng.random_range(0.0..SCORE_JITTER), index)).collect();
     scored.sort_by(|a, b| a.0.total_cmp(&b.0));
-    scored.into_iter().map(|(_, at)| at).collect()
+    scored.into_iter().map(|(_, index)| index).collect()
 }
 
-/// The lower, the better.
+/// The score of a candidate; lower is better.
 fn score(candidate: &PlacementCandidate) -> f32 {
-    /// Whole tiers lie this far apart.
+    /// Distance between tiers, above any difference within a tier.
     const TIER: f32 = 1_000.0;
     let standing = match candidate.standing {
         EndpointStanding::Clean => 0.0,
-        EndpointStanding::Declining => DECLINING_MALUS,
+        EndpointStanding::Declining => DECLINING_PENALTY,
         EndpointStanding::Suspect => TIER,
     };
     let path = if candidate.path_backing_off { 4.0 * TIER } else { 0.0 };
-    let far = if candidate.same_data_centre { 0.0 } else { NEAR_BONUS };
-    standing + path + far + candidate.load as f32 / candidate.slots.max(1) as f32
+    let remote = if candidate.same_data_centre { 0.0 } else { REMOTE_PENALTY };
+    standing + path + remote + candidate.load as f32 / candidate.slots.max(1) as f32
 }
