--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -1,15 +1,5 @@
-//! Requests that end the endpoints which work on them.
-//!
-//! Load pattern: one request ends every endpoint that begins to work on it, and comes again and again, under new ids and at
-//! any VM. Each time all other work at the endpoint is lost, and a service of a few endpoints is gone within seconds; but
-//! endpoints also end for many other reasons, and whatever they work on then is not to blame.
-//!
-//! So all the work that an endpoint had when it ended is suspect, and of suspect requests one at a time may be at an
-//! endpoint: the next end tells them apart. A request under which an endpoint ended, though the request was suspect already
-//! when it began there, is held back everywhere. Ends at the same time count once, since nothing was known of the one when
-//! the other's work began: where many endpoints are lost together, what they all worked on is not held back for it. Any
-//! good answer clears a request. What is held back could never get one, so it has a few trials, further and further apart:
-//! one that ends its endpoints costs a few of them in all, and one that was there by bad luck is free after the first.
+//! Decides which requests are quarantined because they crash the endpoints that run them. Otherwise one such request,
+//! sent again and again, takes down all endpoints of a service and fails all other requests running there.
 
 use std::time::{Duration, Instant};
 
@@ -18,60 +8,61 @@
 use super::fingerprint::Fingerprint;
 use crate::util::mix;
 
-/// A request with so much evidence against it is held back.
-const HELD_AT: u32 = 3;
-/// Evidence by the end of an endpoint that worked on it: nothing was known of it yet, or it may have been another suspect.
-const ONE_OF_SEVERAL: u32 = 1;
-/// Evidence by the end of an endpoint at which nothing else was suspect.
-const ONLY_SUSPECT: u32 = 2;
-/// The pauses before the trials of a request that is held back. It gets no more of them than these: each may cost an endpoint
-/// and all that works there.
-const TRIALS_AFTER: [Duration; 3] = [Duration::from_secs(30), Duration::from_secs(300), Duration::from_secs(3_600)];
-/// For how long a request that is not held back is remembered: longer than callers go on asking.
-const REMEMBERED: Duration = Duration::from_secs(600);
-/// For how long one that is held back is remembered after it came last.
-const HELD_REMEMBERED: Duration = Duration::from_secs(24 * 3_600);
-/// How many are remembered at most: the work of all slots of many endpoints that ended within `REMEMBERED`.
-const MOST: usize = 2_048;
-
-/// What is known against a request. Merged field by field, so that all proxies agree whatever they hear first.
+/// Evidence at which a request is quarantined.
+const QUARANTINE_AT: u32 = 3;
+/// Evidence from a crash when the request was not suspect at its start, or another suspect was running too.
+const SHARED_EVIDENCE: u32 = 1;
+/// Evidence from a crash when the request was the only suspect.
+const SOLE_SUSPECT_EVIDENCE: u32 = 2;
+/// Delays before the first, second and last trial of a quarantined request. There are no more trials, as each may
+/// crash an endpoint.
+const TRIAL_DELAYS: [Duration; 3] = [Duration::from_secs(30), Duration::from_secs(300), Duration::from_secs(3_600)];
+/// Retention of a record that is not quarantined: longer than callers retry.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Retention of a quarantined record after its last change or request.
+const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
+/// Most records kept: enough for the running requests of many endpoints that crash within `RETENTION`.
+const MAX_RECORDS: usize = 2_048;
+
+/// Evidence that a request crashes endpoints. Records merge field by field, so all proxies converge whatever the
+/// order of the updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// How often a good answer cleared it. The rest is of the time since.
+    /// How often a good answer cleared the request; the other fields count from the last time.
     cleared: u32,
-    /// The evidence by endpoints that ended under it; `HELD_AT` and more hold it back.
+    /// Evidence from crashes; the request is quarantined from `QUARANTINE_AT` on.
     evidence: u32,
-    /// Trials that began.
+    /// Trials started.
     trials: u32,
 }
 
 impl CrashRecord {
-    /// How much speaks against it.
+    /// The evidence from crashes since the last good answer.
     pub fn evidence(self) -> u32 {
         self.evidence
     }
 
-    /// Whether it is held back.
+    /// Whether the request is quarantined.
     pub fn is_quarantined(self) -> bool {
-        self.evidence >= HELD_AT
+        self.evidence >= QUARANTINE_AT
     }
 
-    /// Whether it was cleared, and nothing speaks against it since.
+    /// Whether a good answer cleared the request and there is no evidence since.
     pub fn is_cleared(self) -> bool {
         self.cleared > 0 && self.evidence == 0
     }
 
-    /// Whether an endpoint ended under it, and nothing cleared it since.
+    /// Whether an endpoint crashed while running the request, and no good answer cleared it since.
     pub fn is_suspect(self) -> bool {
         self.evidence > 0
     }
 
-    /// How many trials began.
+    /// Number of trials started since the last good answer.
     pub fn trials(self) -> u32 {
         self.trials
     }
 
-    /// With one more trial.
+    /// The record after the start of one more trial.
     pub fn with_trial(self) -> Self {
         Self { trials: self.trials.saturating_add(1), ..self }
     }
@@ -86,10 +77,11 @@
         }
     }
 
-    /// After an endpoint ended under work that began when this was known of it.
-    fn after_end(self, only_suspect: bool) -> Self {
-        let more = if self.is_suspect() && only_suspect { ONLY_SUSPECT } else { ONE_OF_SEVERAL };
-        Self { evidence: self.evidence.saturating_add(more), ..self }
+    /// The record after a crash; `self` is the record from when the request started, so simultaneous crashes
+    /// count once.
+    fn after_crash(self, only_suspect: bool) -> Self {
+        let added = if self.is_suspect() && only_suspect { SOLE_SUSPECT_EVIDENCE } else { SHARED_EVIDENCE };
+        Self { evidence: self.evidence.saturating_add(added), ..self }
     }
 
     fn after_good_answer(self) -> Self {
@@ -97,15 +89,15 @@
     }
 }
 
-/// A case as proxies tell it each other.
+/// A crash record as proxies exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecordUpdate {
-    /// Of which request.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// What is known.
+    /// Its crash record.
     #[serde(rename = "case")]
     pub record: CrashRecord,
-    /// How long ago that changed, or the request came last.
+    /// Time since the record changed or the request last arrived.
     pub age: Duration,
 }
 
@@ -113,123 +105,127 @@
 struct Entry {
     fingerprint: Fingerprint,
     record: CrashRecord,
-    /// When the case changed, or the request came last, anywhere.
-    touched: Instant,
-    /// When this proxy heard of the last change, or put a trial off.
-    since: Instant,
+    /// When the record changed or the request last arrived, at any proxy.
+    last_active: Instant,
+    /// Start of the current trial delay: when this proxy learnt of the last change, or postponed the trial.
+    delay_start: Instant,
 }
 
 impl Entry {
-    fn is_over(&self, now: Instant) -> bool {
-        let kept = if self.record.is_quarantined() { HELD_REMEMBERED } else { REMEMBERED };
-        now.saturating_duration_since(self.touched) >= kept
+    fn is_expired(&self, now: Instant) -> bool {
+        let retention = if self.record.is_quarantined() { QUARANTINE_RETENTION } else { RETENTION };
+        now.saturating_duration_since(self.last_active) >= retention
     }
 }
 
-/// What is known against all requests.
+/// The crash records of all requests known to this proxy.
+///
+/// A crash makes every request that was running at the endpoint suspect. Guards run one suspect at a time, so the
+/// next crash shows which request causes it: one that was already suspect at its start, and the only suspect, is
+/// quarantined. A good answer clears a request. A quarantined request gets a few trials at growing intervals.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    /// Sorted by fingerprint; at most `MOST`.
+    /// Sorted by fingerprint; at most `MAX_RECORDS`.
     entries: Vec<Entry>,
 }
 
 impl Quarantine {
-    /// What is known against a request.
+    /// The crash record of a request; empty if there is none.
     pub fn crash_record(&self, fingerprint: Fingerprint) -> CrashRecord {
         self.find(fingerprint).map_or_else(|_| CrashRecord::default(), |at| self.entries[at].record)
     }
 
-    /// What is known against a request that has just come.
+    /// Renews the retention of a request that has just arrived, and returns its crash record.
     pub fn touch(&mut self, fingerprint: Fingerprint, now: Instant) -> CrashRecord {
         let Ok(at) = self.find(fingerprint) else { return CrashRecord::default() };
-        self.entries[at].touched = now;
+        self.entries[at].last_active = now;
         self.entries[at].record
     }
 
-    /// An endpoint ended under this work, each piece with what was known against it when it began. Returns of which
-    /// requests that is news.
-    pub fn record_crash(&mut self, work: &[(Fingerprint, CrashRecord)], now: Instant) -> Vec<Fingerprint> {
+    /// Records the crash of an endpoint that was running these requests, each with its crash record from when it
+    /// started. Returns the requests whose records changed.
+    pub fn record_crash(&mut self, running: &[(Fingerprint, CrashRecord)], now: Instant) -> Vec<Fingerprint> {
         let suspect = |it: &&(Fingerprint, CrashRecord)| self.crash_record(it.0).is_suspect();
-        let suspects: Vec<Fingerprint> = work.iter().filter(suspect).map(|it| it.0).collect();
-        let mut news = Vec::new();
-        for (fingerprint, known) in work {
+        let suspects: Vec<Fingerprint> = running.iter().filter(suspect).map(|it| it.0).collect();
+        let mut changed = Vec::new();
+        for (fingerprint, at_start) in running {
             let only_suspect = suspects.iter().all(|it| it == fingerprint);
-            if self.merge(*fingerprint, known.after_end(only_suspect), now) {
-                news.push(*fingerprint);
+            if self.merge(*fingerprint, at_start.after_crash(only_suspect), now) {
+                changed.push(*fingerprint);
             }
         }
-        news
+        changed
     }
 
-    /// An endpoint answered the request well. Returns whether that is news.
+    /// Clears a request that an endpoint answered well. Returns whether its record changed.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         let record = self.crash_record(fingerprint);
         record.is_suspect() && self.merge(fingerprint, record.after_good_answer(), now)
     }
 
-    /// Takes in what another knows of a request. Returns whether that is news.
+    /// Merges a record received just now. Returns whether the local record changed.
     pub fn merge(&mut self, fingerprint: Fingerprint, record: CrashRecord, now: Instant) -> bool {
         self.merge_update(&CrashRecordUpdate { fingerprint, record, age: Duration::ZERO }, now)
     }
 
-    /// Takes in what another proxy tells. Returns whether that is news.
-    pub fn merge_update(&mut self, told: &CrashRecordUpdate, now: Instant) -> bool {
-        let touched = now.checked_sub(told.age).unwrap_or(now);
-        let new = Entry { fingerprint: told.fingerprint, record: told.record, touched, since: now };
-        if told.record == CrashRecord::default() || new.is_over(now) {
+    /// Merges an update from another proxy. Returns whether the local record changed.
+    pub fn merge_update(&mut self, update: &CrashRecordUpdate, now: Instant) -> bool {
+        let last_active = now.checked_sub(update.age).unwrap_or(now);
+        let new = Entry { fingerprint: update.fingerprint, record: update.record, last_active, delay_start: now };
+        if update.record == CrashRecord::default() || new.is_expired(now) {
             return false;
         }
-        match self.find(told.fingerprint) {
+        match self.find(update.fingerprint) {
             Ok(at) => {
                 let known = &mut self.entries[at];
                 let before = known.record;
-                known.record = before.merge(told.record);
-                known.touched = known.touched.max(touched);
-                let is_news = known.record != before;
-                if is_news {
-                    known.since = now;
+                known.record = before.merge(update.record);
+                known.last_active = known.last_active.max(last_active);
+                let is_changed = known.record != before;
+                if is_changed {
+                    known.delay_start = now;
                 }
-                is_news
+                is_changed
             }
             Err(at) => {
                 self.entries.insert(at, new);
-                self.make_room();
+                self.evict();
                 true
             }
         }
     }
 
-    /// How long until a request that is held back may have its next trial; `None` if it has had all.
+    /// Time until the next trial of a quarantined request; `None` if it has no trials left or no record.
     pub fn next_trial_in(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
         let it = &self.entries[self.find(fingerprint).ok()?];
-        let pause = TRIALS_AFTER.get(it.record.trials as usize)?;
-        Some(pause.saturating_sub(now.saturating_duration_since(it.since)))
+        let delay = TRIAL_DELAYS.get(it.record.trials as usize)?;
+        Some(delay.saturating_sub(now.saturating_duration_since(it.delay_start)))
     }
 
-    /// The next trial is due after its whole pause from now: it could not begin, or another proxy has begun it.
+    /// Restarts the delay before the next trial, when the trial could not start or another proxy started it.
     pub fn postpone_trial(&mut self, fingerprint: Fingerprint, now: Instant) {
         if let Ok(at) = self.find(fingerprint) {
-            self.entries[at].since = now;
+            self.entries[at].delay_start = now;
         }
     }
 
-    /// All cases, to be told to another proxy.
+    /// All records, to send to another proxy.
     pub fn updates(&self, now: Instant) -> Vec<CrashRecordUpdate> {
-        let tell = |it: &Entry| CrashRecordUpdate {
+        let update = |it: &Entry| CrashRecordUpdate {
             fingerprint: it.fingerprint,
             record: it.record,
-            age: now.saturating_duration_since(it.touched),
+            age: now.saturating_duration_since(it.last_active),
         };
-        self.entries.iter().map(tell).collect()
+        self.entries.iter().map(update).collect()
     }
 
-    /// How many requests are suspect, and how many of them are held back.
+    /// The number of suspect requests, and how many of them are quarantined.
     pub fn counts(&self) -> (usize, usize) {
-        let count = |which: fn(CrashRecord) -> bool| self.entries.iter().filter(|it| which(it.record)).count();
+        let count = |predicate: fn(CrashRecord) -> bool| self.entries.iter().filter(|it| predicate(it.record)).count();
         (count(CrashRecord::is_suspect), count(CrashRecord::is_quarantined))
     }
 
-    /// One number that differs where any case differs.
+    /// A hash of all records, independent of their order; it differs where any record differs.
     pub fn digest(&self) -> u64 {
         let hash = |it: &Entry| {
             let CrashRecord { cleared, evidence, trials } = it.record;
@@ -238,25 +234,25 @@
         self.entries.iter().map(hash).fold(0, u64::wrapping_add)
     }
 
-    /// Forgets what is over.
+    /// Drops the records whose retention has ended.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.entries.retain(|it| !it.is_over(now));
+        self.entries.retain(|it| !it.is_expired(now));
     }
 
     fn find(&self, fingerprint: Fingerprint) -> Result<usize, usize> {
         self.entries.binary_search_by_key(&fingerprint, |it| it.fingerprint)
     }
 
-    /// Drops the least important entry if there are too many: what isn't held back first, and of that the oldest.
-    fn make_room(&mut self) {
-        if self.entries.len() <= MOST {
+    /// Drops one entry if there are too many: the oldest that is not quarantined, or the oldest of all.
+    fn evict(&mut self) {
+        if self.entries.len() <= MAX_RECORDS {
             return;
         }
-        let least = (0..self.entries.len()).min_by_key(|at| {
+        let victim = (0..self.entries.len()).min_by_key(|at| {
             let it = &self.entries[*at];
-            (it.record.is_quarantined(), it.touched)
+            (it.record.is_quarantined(), it.last_active)
         });
-        if let Some(at) = least {
+        if let Some(at) = victim {
             self.entries.remove(at);
         }
     }
