--- a/src/decide/slot_time.rs
+++ b/src/decide/slot_time.rs
@@ -1,39 +1,37 @@
-//! Where the time of an endpoint's slots goes.
-//!
-//! Slots are what is short on a bad day, so each policy is a claim about one of these sums. Together they are the
-//! slots times the time that passed.
+//! Accounts for the time of an endpoint's slots by use, so that lost capacity can be traced to its cause. The totals,
+//! with the time of current runs, add up to the number of slots times the elapsed time.
 
 use std::time::{Duration, Instant};
 
 use super::suspicion::EndpointStanding;
 
-/// What a slot's time was spent on.
+/// What a slot's time was spent on. The reasons for free slots are the uses from `Blocked` on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUse {
-    /// Work that the endpoint answered well.
+    /// Running requests that the endpoint answered well.
     Answered,
-    /// Work that it failed, or whose answer was not whole.
+    /// Running requests that failed or got an incomplete answer.
     Failed,
-    /// Work that failed because a call that it made was not answered well.
+    /// Running requests that failed because a nested call of theirs failed.
     CallFailed,
-    /// Work that the endpoint declined.
+    /// Requests that the endpoint declined.
     Declined,
-    /// Work whose caller left, or whose time was over.
+    /// Requests whose caller disconnected or whose deadline passed.
     Abandoned,
-    /// Offered to an ingress that had not begun to use it yet.
+    /// Granted to an ingress that had not started to run its request.
     Offered,
-    /// Free, while work for the service waited here.
+    /// Free, while requests were waiting here.
     Blocked,
-    /// Free, and kept from work since the endpoint failed or declined work of late.
+    /// Free, while the endpoint was declining or suspect.
     Distrusted,
-    /// Kept free while the endpoint warms up.
+    /// Not usable yet, while the endpoint warms up.
     Cold,
-    /// Free, and no work waited here.
+    /// Free, while no request was waiting here.
     Idle,
 }
 
 impl SlotUse {
-    /// All uses, in the order of their sums.
+    /// All uses, in the order of their totals.
     pub const ALL: [Self; 10] = [
         Self::Answered,
         Self::Failed,
@@ -47,7 +45,7 @@
         Self::Idle,
     ];
 
-    /// As written in events and metrics.
+    /// The label in events and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -64,25 +62,25 @@
     }
 }
 
-/// How the slots are taken at a moment.
+/// How the slots are occupied at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SlotOccupancy {
-    /// All slots of the endpoint; 0 while it takes no work.
+    /// All slots of the endpoint; 0 while it takes no requests.
     pub slots: u32,
-    /// Those that may be used now: fewer while it warms up.
+    /// Slots that may be used now; fewer while the endpoint warms up.
     pub usable: u32,
-    /// Offered to ingresses that have not begun.
+    /// Slots granted to ingresses that have not started to run their requests.
     pub offered: u32,
-    /// At work.
+    /// Slots with a running request.
     pub working: u32,
-    /// How far the endpoint is trusted.
+    /// The endpoint's standing.
     pub standing: EndpointStanding,
-    /// Work waits here.
+    /// Whether requests wait here for a slot.
     pub has_waiters: bool,
 }
 
 impl SlotOccupancy {
-    /// What the free slots are.
+    /// The use that free slots count as.
     fn free_use(&self) -> SlotUse {
         match (self.standing, self.has_waiters) {
             (EndpointStanding::Suspect | EndpointStanding::Declining, _) => SlotUse::Distrusted,
@@ -92,42 +90,42 @@
     }
 }
 
-/// The sums of one guard.
+/// Slot time of one guard by use, as totals since the guard's start.
 #[derive(Debug, Clone, Default)]
 pub struct SlotTime {
-    /// As of the last step.
+    /// As of `updated_at`.
     occupancy: SlotOccupancy,
-    /// The time of the last step; `None` before the first.
-    at: Option<Instant>,
-    /// By [`Use::ALL`].
-    sums: [Duration; SlotUse::ALL.len()],
+    /// The time of the last [`advance`](Self::advance); `None` before the first.
+    updated_at: Option<Instant>,
+    /// Indexed by [`SlotUse`].
+    totals: [Duration; SlotUse::ALL.len()],
 }
 
 impl SlotTime {
-    /// Adds the time since the last step, and goes on with `next`.
-    pub fn advance(&mut self, next: SlotOccupancy, now: Instant) {
-        let past = self.at.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
+    /// Adds the time since the last call by the previous occupancy, and sets the current one.
+    pub fn advance(&mut self, current: SlotOccupancy, now: Instant) {
+        let elapsed = self.updated_at.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
         let SlotOccupancy { slots, usable, offered, working, .. } = self.occupancy;
         let taken = offered + working;
         let free = usable.saturating_sub(taken);
-        self.add(SlotUse::Offered, past * offered);
-        self.add(self.occupancy.free_use(), past * free);
-        self.add(SlotUse::Cold, past * slots.saturating_sub(usable.max(taken)));
-        self.occupancy = next;
-        self.at = Some(now);
+        self.add(SlotUse::Offered, elapsed * offered);
+        self.add(self.occupancy.free_use(), elapsed * free);
+        self.add(SlotUse::Cold, elapsed * slots.saturating_sub(usable.max(taken)));
+        self.occupancy = current;
+        self.updated_at = Some(now);
     }
 
-    /// Adds work that has ended.
-    pub fn add_work(&mut self, on: SlotUse, took: Duration) {
-        self.add(on, took);
+    /// Adds the time of a run that has ended.
+    pub fn add_work(&mut self, slot_use: SlotUse, took: Duration) {
+        self.add(slot_use, took);
     }
 
-    /// The sum of one use.
-    pub fn total(&self, of: SlotUse) -> Duration {
-        self.sums[of as usize]
+    /// The total of one use.
+    pub fn total(&self, slot_use: SlotUse) -> Duration {
+        self.totals[slot_use as usize]
     }
 
-    fn add(&mut self, on: SlotUse, time: Duration) {
-        self.sums[on as usize] += time;
+    fn add(&mut self, slot_use: SlotUse, time: Duration) {
+        self.totals[slot_use as usize] += time;
     }
 }
