--- a/src/decide/shutdown.rs
+++ b/src/decide/shutdown.rs
@@ -1,8 +1,5 @@
-//! The stages of a proxy that was told to stop.
-//!
-//! Load pattern: a fleet that is restarted in turn while it works. The endpoint beside a stopping proxy lives on, so its
-//! guard goes on with short work for a part of the grace; callers come until the platform has sent them elsewhere. An
-//! idle moment in between ends nothing: work taken after it would be cut off with the process.
+//! Decides the stages of a graceful shutdown, so that a restarted proxy neither loses requests that callers still
+//! send nor exits in an idle moment while new requests are accepted.
 
 use std::{
     sync::LazyLock,
@@ -13,105 +10,106 @@
 
 use crate::chart::Chart;
 
-/// For how long callers may still come: the platform asks for readiness each second, and two misses
-/// send them elsewhere.
-const LINGER: Duration = Duration::from_millis(3_200);
-/// What is left of the grace when requests get their last answers.
-const LAST: Duration = Duration::from_millis(500);
-/// How long the last answers have to leave.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
-/// The part of the grace in which new requests are taken: the platform needs two seconds of six to
-/// send callers elsewhere, and what comes later could not be finished.
-const TAKES_PART: f64 = 0.45;
-/// The part of the grace within which the endpoint must have ended its work. It lives on beside the next run of
-/// this proxy, so until then it takes what is sure to end in time.
-const ENDS_PART: f64 = 0.8;
+/// Time after the SIGTERM in which an idle moment ends no stage: callers still arrive until the platform has seen two
+/// failed readiness probes, one a second.
+const MIN_DRAIN: Duration = Duration::from_millis(3_200);
+/// Time before the end of the grace at which open requests get their final answers.
+const FINAL_ANSWERS_BEFORE_END: Duration = Duration::from_millis(500);
+/// Time for sending the final answers.
+const FINAL_ANSWERS_SEND_TIME: Duration = Duration::from_millis(150);
+/// Share of the grace in which new requests are accepted; later ones could not be finished in time.
+const ACCEPT_SHARE: f64 = 0.45;
+/// Share of the grace within which requests at the endpoint must end. The endpoint outlives this process, so its guard
+/// keeps granting slots to requests that end in time.
+const ENDPOINT_SHARE: f64 = 0.8;
 
-static CHART: LazyLock<Chart<ShutdownStage, Event>> =
+static CHART: LazyLock<Chart<ShutdownStage, ShutdownEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/stopping.toml")));
 
-/// How far the stop is (charts/stopping.toml).
+/// The stages of a graceful shutdown, as in charts/stopping.toml.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ShutdownStage {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Callers are sent elsewhere; work that is sure to end in time is still taken.
+    /// Readiness fails, so the platform sends callers elsewhere; requests that end in time are still accepted.
     HandingOver,
-    /// No work is taken any more; what is under way is finished.
+    /// No requests are accepted; open ones are finished.
     Finishing,
-    /// Nothing is under way and nothing can come, or the time is over.
+    /// All requests are finished, or the grace is over; the process may exit.
     Done,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Event {
+enum ShutdownEvent {
     Sigterm,
     HandOverEnds,
     Idle,
     OutOfTime,
 }
 
-/// A stop that is under way.
+/// A graceful shutdown in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shutdown {
     stage: ShutdownStage,
-    began: Instant,
+    started_at: Instant,
     grace: Duration,
-    /// When the platform ends the process.
-    killed: Instant,
+    /// When the platform kills the process.
+    killed_at: Instant,
 }
 
 impl Shutdown {
-    /// The stop that begins with the first SIGTERM.
+    /// Starts a shutdown at the first SIGTERM; `grace` is the time that the platform leaves before it kills the
+    /// process.
     pub fn new(now: Instant, grace: Duration) -> Self {
-        let mut stop = Self { stage: CHART.initial, began: now, grace, killed: now + grace };
-        stop.take(Event::Sigterm);
-        stop
+        let mut shutdown = Self { stage: CHART.initial, started_at: now, grace, killed_at: now + grace };
+        shutdown.apply(ShutdownEvent::Sigterm);
+        shutdown
     }
 
-    /// Another SIGTERM: the platform grants the whole grace anew. When work is no longer taken stays as it was.
+    /// Restarts the grace at a further SIGTERM. The time from which new requests are refused stays.
     pub fn extend_grace(&mut self, now: Instant) {
-        self.killed = now + self.grace;
+        self.killed_at = now + self.grace;
     }
 
-    /// How far the stop is.
+    /// The current stage.
     pub fn stage(&self) -> ShutdownStage {
         self.stage
     }
 
-    /// When all requests must have their answers.
+    /// When all open requests must be answered.
     pub fn answer_deadline(&self) -> Instant {
-        self.killed - LAST.min(self.grace)
+        self.killed_at - FINAL_ANSWERS_BEFORE_END.min(self.grace)
     }
 
-    /// When the endpoint's work must have ended that is taken during the stop.
+    /// When requests that get a slot during the shutdown must have ended at the endpoint.
     pub fn work_deadline(&self) -> Instant {
-        self.began + self.grace.mul_f64(ENDS_PART)
+        self.started_at + self.grace.mul_f64(ENDPOINT_SHARE)
     }
 
-    /// Looks whether a stage is over; `busy` while requests or runs are under way. At most one stage ends in one look,
-    /// so that whoever acts on [`Stage::Finishing`] does so before idleness counts.
+    /// Moves to the next stage if the current one is over, and returns the stage; `busy` if requests or runs are
+    /// open. A call ends at most one stage, so that the caller acts on [`ShutdownStage::Finishing`] before an idle
+    /// moment ends it.
     pub fn advance(&mut self, now: Instant, busy: bool) -> ShutdownStage {
-        let idle = !busy && now >= self.began + LINGER;
+        let idle = !busy && now >= self.started_at + MIN_DRAIN;
         let event = match self.stage {
-            _ if now >= self.answer_deadline() + LAST_ANSWERS => Some(Event::OutOfTime),
-            ShutdownStage::HandingOver if idle || now >= self.began + self.grace.mul_f64(TAKES_PART) => {
-                Some(Event::HandOverEnds)
+            _ if now >= self.answer_deadline() + FINAL_ANSWERS_SEND_TIME => Some(ShutdownEvent::OutOfTime),
+            ShutdownStage::HandingOver if idle || now >= self.started_at + self.grace.mul_f64(ACCEPT_SHARE) => {
+                Some(ShutdownEvent::HandOverEnds)
             }
-            ShutdownStage::Finishing if idle => Some(Event::Idle),
+            ShutdownStage::Finishing if idle => Some(ShutdownEvent::Idle),
             ShutdownStage::Serving | ShutdownStage::HandingOver | ShutdownStage::Finishing | ShutdownStage::Done => {
                 None
             }
         };
-        if let Some(it) = event {
-            self.take(it);
+        if let Some(event) = event {
+            self.apply(event);
         }
         self.stage
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: ShutdownEvent) {
         self.stage = CHART.next(self.stage, event).unwrap_or(self.stage);
     }
 }
