--- a/src/decide/subset.rs
+++ b/src/decide/subset.rs
@@ -1,54 +1,55 @@
-//! The guards that an ingress keeps connections to.
-//!
-//! Load pattern: hundreds of VMs that each send a few requests a second to each service. A connection to every other
-//! VM costs memory, and each change of an endpoint a message to every other VM. A few guards a service, near ones first, are
-//! choice enough while three in ten endpoints are gray and one declines or drains. Which ones is a rendezvous hash: each
-//! guard gets about as many ingresses as the others, and one VM's leaving moves one connection of those that had chosen it.
-//! A guard that was chosen keeps a connection back, to tell how its endpoint stands; both may send work on theirs.
+//! Decides which guards an ingress keeps connections to, so that connections and updates don't grow with the square
+//! of the fleet.
 
 use crate::util::mix;
 
-/// How many guards of a service are chosen in the ingress's own data centre: bytes between data centres are dear.
-const NEAR: usize = 5;
-/// How many guards of a service are chosen in all, further ones in other data centres: all that a data centre has of a
-/// service may be gray or full at once.
-const ALL: usize = 8;
+/// Guards of a service chosen in the ingress's own data centre.
+const SAME_DATA_CENTRE: usize = 5;
+/// Guards of a service chosen in total; the rest are in other data centres, as all guards of one may be failing or
+/// full.
+const TOTAL: usize = 8;
 
-/// A proxy that may be chosen for the endpoint it guards.
+/// A proxy that may be chosen as a peer for its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerCandidate<'a> {
-    /// The hash of its name.
+    /// Hash of its name.
     pub key: u64,
-    /// The service of its VM.
+    /// The service of its endpoint.
     pub service: &'a str,
-    /// Whether it is in the chooser's data centre.
+    /// Whether it is in the data centre of the choosing proxy.
     pub same_data_centre: bool,
-    /// Whether it can be reached, as far as known. One that can't stays chosen, and is tried, beside the next.
+    /// Whether it is reachable as far as known. An unreachable one stays chosen, and another is chosen in addition.
     pub reachable: bool,
 }
 
-/// The places in `members` of those that `me` keeps connections to, sorted.
-pub fn choose_peers(me: u64, members: &[PeerCandidate<'_>]) -> Vec<usize> {
-    let mut ranked: Vec<(&str, bool, u64, usize)> =
-        members.iter().enumerate().map(|(at, it)| (it.service, !it.same_data_centre, mix(&[me, it.key]), at)).collect();
+/// Returns the sorted indices of the peers that the proxy with the key `me` keeps connections to.
+///
+/// The choice is a rendezvous hash: guards get about equally many ingresses, and when one leaves, each ingress that
+/// chose it replaces one connection.
+pub fn choose_peers(me: u64, candidates: &[PeerCandidate<'_>]) -> Vec<usize> {
+    let mut ranked: Vec<(&str, bool, u64, usize)> = candidates
+        .iter()
+        .enumerate()
+        .map(|(at, it)| (it.service, !it.same_data_centre, mix(&[me, it.key]), at))
+        .collect();
     ranked.sort_unstable();
     let mut chosen = Vec::new();
     for of_service in ranked.chunk_by(|a, b| a.0 == b.0) {
-        let far_from = of_service.partition_point(|it| !it.1);
-        let (near, far) = of_service.split_at(far_from);
-        let found = take(members, near, NEAR, &mut chosen);
-        let found = found + take(members, far, ALL - found, &mut chosen);
-        // Where the other data centres have too few, one's own may have more.
-        let more = near.iter().filter(|it| !chosen.contains(&it.3)).copied().collect::<Vec<_>>();
-        take(members, &more, ALL - found, &mut chosen);
+        let first_remote = of_service.partition_point(|it| !it.1);
+        let (local, remote) = of_service.split_at(first_remote);
+        let found = choose_reachable(candidates, local, SAME_DATA_CENTRE, &mut chosen);
+        let found = found + choose_reachable(candidates, remote, TOTAL - found, &mut chosen);
+        // If the other data centres have too few guards, more are chosen in the same one.
+        let rest = local.iter().filter(|it| !chosen.contains(&it.3)).copied().collect::<Vec<_>>();
+        choose_reachable(candidates, &rest, TOTAL - found, &mut chosen);
     }
     chosen.sort_unstable();
     chosen
 }
 
-/// Chooses from the first of `ranked` on until `wanted` of them can be reached; returns how many that are.
-fn take(
-    members: &[PeerCandidate<'_>],
+/// Chooses in the order of `ranked` until `wanted` of the chosen are reachable; returns how many are.
+fn choose_reachable(
+    candidates: &[PeerCandidate<'_>],
     ranked: &[(&str, bool, u64, usize)],
     wanted: usize,
     chosen: &mut Vec<usize>,
@@ -59,7 +60,7 @@
             break;
         }
         chosen.push(*at);
-        found += usize::from(members[*at].reachable);
+        found += usize::from(candidates[*at].reachable);
     }
     found
 }
