--- a/src/decide/suspicion.rs
+++ b/src/decide/suspicion.rs
@@ -1,59 +1,45 @@
-//! Who bears the risk of an endpoint that may be failing gray.
-//!
-//! Load pattern: at any time several endpoints fail most of their work, within milliseconds and for
-//! many seconds, while their health says all is well; whoever chooses by load pours work into them.
-//! Healthy endpoints fail one answer in a hundred too, but after working on it. So a failure in a
-//! small part of the usual time makes a suspect at once, and a slow failure only if another one
-//! follows it. Suspects get idempotent work only, which a clean endpoint can repeat, and little of
-//! it, until several good answers came in a row.
-//!
-//! An endpoint that declines work says so, and nothing is lost but an arrival, so it is avoided for the
-//! same time, and still goes before a suspect. Where a whole service sheds, declines and failures must not
-//! look alike: all endpoints decline, and the gray ones among them would get their full share of the work.
+//! Decides when an endpoint is suspect and which requests it then takes, so that an endpoint that fails requests fast
+//! while its health check passes does not attract more of them.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Good answers in a row that clear a suspect: of one that still fails three in four, two in a
-/// hundred pass.
-const CLEARING: u32 = 3;
-/// Doubtful answers in a row that make a suspect: healthy endpoints give two in a row once in some
-/// thousand answers.
-const DOUBTS: u32 = 2;
-/// The pause after the first bad answer: shorter than the spells, longer than a burst of answers
-/// that were under way together.
-const FIRST_REST: Duration = Duration::from_millis(300);
-/// The longest pause between trials: spells last several seconds, and each trial costs a retry.
-const LONGEST_REST: Duration = Duration::from_millis(900);
-/// A trial that has not failed for this long no longer keeps the next one back: the long work of a class
-/// would else be the only trial for seconds, and gray endpoints fail within milliseconds.
+/// Good answers in a row that end a probation.
+const GOOD_ANSWERS_TO_CLEAR: u32 = 3;
+/// Soft failures in a row that make an endpoint suspect.
+const SOFT_FAILURES_TO_SUSPECT: u32 = 2;
+/// Backoff after the first failure: long enough that failures of requests already running don't extend it.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
+/// The longest backoff between trials.
+const MAX_BACKOFF: Duration = Duration::from_millis(900);
+/// A running trial blocks the next one for at most this long, so that one long request doesn't delay recovery.
 const TRIAL_SPACING: Duration = Duration::from_millis(500);
-/// Trials at once before any has ended well: an endpoint that hangs keeps this much work at most.
-const MOST_TRIALS: u32 = 4;
-/// After this without a trial any work may be one: where none is idempotent, nobody else would find out that
-/// the endpoint is sound again.
-const UNTESTED: Duration = Duration::from_millis(1_500);
-/// A failure in less than this part of the usual time is a fast one.
-const FAST_PART: u32 = 8;
-/// With no usual time known, a failure is fast below this.
-const FAST: Duration = Duration::from_millis(10);
-
-/// How far an endpoint is trusted, the best first.
+/// Most trials running before any has succeeded; limits the requests lost at an endpoint that hangs.
+const MAX_UNPROVEN_TRIALS: u32 = 4;
+/// After this long without a trial any request may be one; otherwise an endpoint without idempotent requests could not
+/// recover.
+const ANY_REQUEST_AFTER: Duration = Duration::from_millis(1_500);
+/// A failure is fast if it takes less than the usual service time divided by this.
+const FAST_FAILURE_DIVISOR: u32 = 8;
+/// Limit of a fast failure where the usual service time is unknown.
+const DEFAULT_FAST_FAILURE_LIMIT: Duration = Duration::from_millis(10);
+
+/// The standing of an endpoint in outlier detection, the best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointStanding {
-    /// Its last answers were good.
+    /// Takes any request.
     #[default]
     Clean,
-    /// It declined work of late.
+    /// It declined requests, and has not recovered since.
     Declining,
-    /// It failed work of late.
+    /// It failed requests, and has not recovered since.
     Suspect,
 }
 
 impl EndpointStanding {
-    /// As written in events and metrics.
+    /// The label in events and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Clean => "clean",
@@ -63,103 +49,113 @@
     }
 }
 
-/// What an answer says of an endpoint.
+/// What the outcome of a request shows about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerSample {
-    /// It did the work.
+    /// The endpoint answered it well.
     Good,
-    /// It has worked for longer than fast failures take.
+    /// It has been running for longer than fast failures take.
     Working,
-    /// It said that it did not begin the work, though it was below its slots.
+    /// The endpoint declined to start it, although it had free slots.
     Declined,
-    /// It failed as healthy endpoints do now and then: after working on it.
+    /// It failed slowly, as happens at healthy endpoints too.
     SoftFailure,
-    /// It failed at once, or could not be reached.
+    /// It failed fast, or the endpoint crashed or could not be reached.
     HardFailure,
 }
 
 impl AnswerSample {
-    /// What a failure after `took` says, with the usual time of such work.
+    /// Classifies a failure after `took`; `usual` is the mean service time of such requests.
     pub fn from_failure(took: Duration, usual: Option<Duration>) -> Self {
         if took < fast_failure_limit(usual) { Self::HardFailure } else { Self::SoftFailure }
     }
 }
 
-/// Failures that take less than this are fast ones, with the usual time of such work.
+/// The duration below which a failure is fast; `usual` is the mean service time of such requests.
 pub fn fast_failure_limit(usual: Option<Duration>) -> Duration {
-    usual.map_or(FAST, |it| it / FAST_PART)
+    usual.map_or(DEFAULT_FAST_FAILURE_LIMIT, |it| it / FAST_FAILURE_DIVISOR)
 }
 
-/// Whether a suspect may be tried with work that was sent to `attempts` of at most `max_attempts` endpoints.
+/// Whether a request with `attempts` made of at most `max_attempts` may be a trial of a suspect.
 ///
-/// Trials fail more often than not, so only work that is sure to be sent to another endpoint afterwards
-/// bears them: it must be idempotent, with an attempt left for the repeat. (With the allowance used up the
-/// repeat may be refused; trials go on all the same, or no suspect would return while room is short.)
+/// Most trials fail, so the request must be idempotent and have an attempt left for a retry. The retry budget is not
+/// checked: otherwise suspects could not recover while it is exhausted.
 pub fn may_be_trial(idempotent: bool, attempts: u32, max_attempts: u32) -> bool {
     idempotent && attempts + 2 <= max_attempts
 }
 
-/// The recent record of one endpoint.
+/// Tracks the standing of one endpoint.
+///
+/// A fast failure makes an endpoint suspect at once, a slow one only if a second follows. Suspects get a few
+/// idempotent requests, which can be retried at another endpoint, until several succeed in a row. Endpoints that
+/// decline requests are avoided in the same way but rank before suspects, as a declined request is not lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StandingTracker {
-    /// Doubtful answers in a row while it is no suspect; below `DOUBTS`.
-    doubts: u32,
-    /// `None` unless it failed of late.
+    /// Soft failures in a row while the endpoint is not suspect; below `SOFT_FAILURES_TO_SUSPECT`.
+    soft_failures: u32,
+    /// The probation after failures.
     failing: Option<Probation>,
-    /// `None` unless it declined of late.
+    /// The probation after declined requests.
     declining: Option<Probation>,
 }
 
-/// The time until an endpoint is trusted again.
+/// The time until an endpoint takes any request again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Probation {
-    /// When it began. Work that was begun before says nothing: an endpoint that turns gray still ends well what
-    /// it had begun well.
-    since: Instant,
-    /// All failures so far were fast ones or declines. Then work that goes on for longer is as good as done, and
-    /// the endpoint returns without waiting for its end.
-    fast: bool,
-    /// Good answers since the last bad one; below `CLEARING`.
+    /// When it began. Outcomes of requests started before are ignored: an endpoint that begins to fail may still finish
+    /// them well.
+    started_at: Instant,
+    /// Whether all failures so far were fast or declined requests. If so, a request that runs for longer counts as a
+    /// good answer before it ends.
+    fast_only: bool,
+    /// Good answers since the last failure; below `GOOD_ANSWERS_TO_CLEAR`.
     good: u32,
-    /// Before this it gets no trial.
-    rests_until: Instant,
-    /// The length of the current pause.
-    rest: Duration,
-    /// When the last trial began, or this did.
-    tried: Instant,
+    /// No trial starts before this.
+    backoff_until: Instant,
+    /// Length of the current backoff.
+    backoff: Duration,
+    /// Start of the last trial, or of the probation if there was none.
+    last_trial: Instant,
 }
 
 impl Probation {
-    fn new(fast: bool, now: Instant) -> Self {
-        Self { since: now, fast, good: 0, rests_until: now + FIRST_REST, rest: FIRST_REST, tried: now }
+    fn new(fast_only: bool, now: Instant) -> Self {
+        Self {
+            started_at: now,
+            fast_only,
+            good: 0,
+            backoff_until: now + INITIAL_BACKOFF,
+            backoff: INITIAL_BACKOFF,
+            last_trial: now,
+        }
     }
 
-    /// After a good answer to work begun at `begun`; `None` when it is over.
-    fn passed(self, begun: Instant) -> Option<Self> {
-        if begun < self.since {
+    /// The probation after a good answer to a request started at `request_started`; `None` when it ends.
+    fn after_success(self, request_started: Instant) -> Option<Self> {
+        if request_started < self.started_at {
             return Some(self);
         }
         let good = self.good + 1;
-        (good < CLEARING).then_some(Self { good, ..self })
+        (good < GOOD_ANSWERS_TO_CLEAR).then_some(Self { good, ..self })
     }
 
-    /// Work begun at `begun` goes on.
-    fn works(self, begun: Instant) -> Option<Self> {
-        if self.fast { self.passed(begun) } else { Some(self) }
+    /// The probation when a request started at `request_started` runs for longer than fast failures take.
+    fn after_long_run(self, request_started: Instant) -> Option<Self> {
+        if self.fast_only { self.after_success(request_started) } else { Some(self) }
     }
 
-    /// After a bad answer to work begun at `begun`.
-    fn failed(self, fast: bool, begun: Instant, now: Instant) -> Self {
-        if begun < self.since {
+    /// The probation after a failed or declined request started at `request_started`.
+    fn after_failure(self, fast: bool, request_started: Instant, now: Instant) -> Self {
+        if request_started < self.started_at {
             return self;
         }
-        let rest = (self.rest * 3 / 2).min(LONGEST_REST);
-        Self { fast: self.fast && fast, good: 0, rests_until: now + rest, rest, ..self }
+        let backoff = (self.backoff * 3 / 2).min(MAX_BACKOFF);
+        Self { fast_only: self.fast_only && fast, good: 0, backoff_until: now + backoff, backoff, ..self }
     }
 }
 
 impl StandingTracker {
-    /// How far the endpoint is trusted.
+    /// The standing by the outcomes recorded so far.
     pub fn standing(&self) -> EndpointStanding {
         match (self.failing, self.declining) {
             (Some(_), _) => EndpointStanding::Suspect,
@@ -168,56 +164,58 @@
         }
     }
 
-    /// Takes in what an answer says to work begun at `begun`; returns whether the standing changed.
-    pub fn record_sample(&mut self, sample: AnswerSample, begun: Instant, now: Instant) -> bool {
+    /// Records the outcome of a request started at `request_started`; returns whether the standing changed.
+    pub fn record_sample(&mut self, sample: AnswerSample, request_started: Instant, now: Instant) -> bool {
         let before = self.standing();
         match sample {
             AnswerSample::Good => {
-                self.doubts = 0;
-                self.failing = self.failing.and_then(|it| it.passed(begun));
-                self.declining = self.declining.and_then(|it| it.passed(begun));
+                self.soft_failures = 0;
+                self.failing = self.failing.and_then(|it| it.after_success(request_started));
+                self.declining = self.declining.and_then(|it| it.after_success(request_started));
             }
             AnswerSample::Working => {
-                self.failing = self.failing.and_then(|it| it.works(begun));
-                self.declining = self.declining.and_then(|it| it.works(begun));
+                self.failing = self.failing.and_then(|it| it.after_long_run(request_started));
+                self.declining = self.declining.and_then(|it| it.after_long_run(request_started));
             }
             AnswerSample::Declined => {
-                let it = self.declining.map_or(Probation::new(true, now), |it| it.failed(true, begun, now));
+                let it =
+                    self.declining.map_or(Probation::new(true, now), |it| it.after_failure(true, request_started, now));
                 self.declining = Some(it);
             }
-            AnswerSample::SoftFailure => self.failed(self.doubts + 1, false, begun, now),
-            AnswerSample::HardFailure => self.failed(DOUBTS, true, begun, now),
+            AnswerSample::SoftFailure => self.record_failure(self.soft_failures + 1, false, request_started, now),
+            AnswerSample::HardFailure => self.record_failure(SOFT_FAILURES_TO_SUSPECT, true, request_started, now),
         }
         before != self.standing()
     }
 
-    fn failed(&mut self, doubts: u32, fast: bool, begun: Instant, now: Instant) {
+    fn record_failure(&mut self, soft_failures: u32, fast: bool, request_started: Instant, now: Instant) {
         if let Some(it) = self.failing {
-            self.failing = Some(it.failed(fast, begun, now));
-        } else if doubts >= DOUBTS {
-            self.doubts = 0;
+            self.failing = Some(it.after_failure(fast, request_started, now));
+        } else if soft_failures >= SOFT_FAILURES_TO_SUSPECT {
+            self.soft_failures = 0;
             self.failing = Some(Probation::new(fast, now));
         } else {
-            self.doubts = doubts;
+            self.soft_failures = soft_failures;
         }
     }
 
-    /// Whether work may be begun that takes endpoints up to the standing `accepts`, with `trials` begun
-    /// during the probation and not ended.
+    /// Whether the endpoint may start a request that accepts endpoints up to the standing `worst`; `trials`
+    /// is the number of trials running.
     ///
-    /// Beyond that, an endpoint takes work that [may be a trial](may_be_trial), one piece at a time, one
-    /// more for each good answer and for each spell without an answer, and any work when no trial came.
-    pub fn admits(&self, accepts: EndpointStanding, trial: bool, trials: u32, now: Instant) -> bool {
-        let Some(it) = self.failing.or(self.declining).filter(|_| self.standing() > accepts) else { return true };
-        let untried = now.saturating_duration_since(it.tried);
-        let room = trials <= it.good || (trials < MOST_TRIALS && untried >= TRIAL_SPACING);
-        room && now >= it.rests_until && (trial || untried >= UNTESTED)
+    /// An endpoint of a worse standing takes requests that [may be a trial](may_be_trial): one at a time, plus one
+    /// for each good answer and one each time that no trial started for a while. After longer without a trial it
+    /// takes any request.
+    pub fn admits(&self, worst: EndpointStanding, trial: bool, trials: u32, now: Instant) -> bool {
+        let Some(it) = self.failing.or(self.declining).filter(|_| self.standing() > worst) else { return true };
+        let since_last_trial = now.saturating_duration_since(it.last_trial);
+        let has_room = trials <= it.good || (trials < MAX_UNPROVEN_TRIALS && since_last_trial >= TRIAL_SPACING);
+        has_room && now >= it.backoff_until && (trial || since_last_trial >= ANY_REQUEST_AFTER)
     }
 
-    /// Takes in that work was begun; while the endpoint is not clean that is a trial.
+    /// Records the start of a request, which is a trial unless the endpoint is clean.
     pub fn record_start(&mut self, now: Instant) {
         for it in [&mut self.failing, &mut self.declining].into_iter().flatten() {
-            it.tried = now;
+            it.last_trial = now;
         }
     }
 }
