--- a/src/decide/watchers.rs
+++ b/src/decide/watchers.rs
@@ -1,115 +1,113 @@
-//! Which proxies wait at the store for a new configuration, for the rest.
-//!
-//! Load pattern: hundreds of proxies, a store whose every call has its price, and a change that must be in force everywhere
-//! within seconds. A few watch, chosen by hash; they tell a few others, who tell a few others. How long ago any watcher
-//! last had the store's answer goes round with that. The longer nobody had one, the more proxies watch: all watchers may
-//! be killed, or cut off from a store that serves the others.
+//! Decides which proxies watch the store for a new configuration, as store calls are expensive and a change has to be
+//! active everywhere within seconds. A few proxies watch, chosen by hash, and gossip to the others. The older the
+//! newest confirmation by the store, the more proxies watch, as all watchers may be down or cut off.
 
 use std::time::{Duration, Instant};
 
 use crate::util::mix;
 
-/// How many watch in each data centre: with one in three of them unable to reach the store, at five data centres the
-/// chance that none can is 1 in 10^7.
-const WATCHERS: usize = 3;
-/// How many watch at least in a fleet of few data centres: with one in three unable to reach the store, none can in 1 of
-/// 700 cases.
-const WATCHERS_IN_ALL: usize = 6;
-/// The shortest and the longest watch. A connection may go silent for good without a word, and a change must be in force
-/// two seconds after it was accepted, with what its way through the fleet takes.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1_200);
-const LONGEST_WAIT: Duration = Duration::from_millis(2_000);
-/// How much later than asked a watch may end before its connection is held to be silent: the store answers in 4 ms, and
-/// up to 60 times slower when it is in trouble.
-const LATE: Duration = Duration::from_millis(600);
-/// How old the last confirmation may become while some watch: the longest watch, and eight rounds of exchanges until
-/// word of its answer has come round.
-const SILENCE: Duration = Duration::from_secs(11);
-/// Beyond that one more in each data centre watches after each such time: all at once would be a surge of calls when
-/// the store comes back.
-const STEP: Duration = Duration::from_millis(100);
-/// How long a proxy watches in the place of one that lost its way to the store. The word of its answers has come round by then,
-/// and where the store fails everybody no more watch for longer.
-const SUBSTITUTES_FOR: Duration = Duration::from_secs(10);
-/// A watcher without the store asks for a substitute again after this: before the last one ends.
-const ASKS_AGAIN: Duration = Duration::from_secs(5);
-/// How long the others are waited for by one that has no configuration yet, and no word of one.
-const FIRST: Duration = Duration::from_secs(3);
+/// Watchers in each data centre, so that some reach the store when others are cut off.
+const WATCHERS_PER_DATA_CENTRE: usize = 3;
+/// Fewest watchers in a fleet with few data centres.
+const MIN_WATCHERS: usize = 6;
+/// The shortest watch. Watches are short because a connection can be lost without an error, and a change has to be
+/// active within two seconds after the store accepted it.
+const MIN_WAIT: Duration = Duration::from_millis(1_200);
+/// The longest watch.
+const MAX_WAIT: Duration = Duration::from_millis(2_000);
+/// Time after the end of a watch for the store's answer, before the connection counts as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Age of the last confirmation from which more proxies watch: the longest watch, plus the time in which its result
+/// spreads through the fleet.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(11);
+/// Interval at which one more proxy of each data centre starts to watch then, so that the store isn't overloaded when
+/// it recovers.
+const EXTRA_WATCHER_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a substitute watches: long enough for its confirmations to reach the fleet, and limited in case the store
+/// is down for all proxies.
+const SUBSTITUTION_TIME: Duration = Duration::from_secs(10);
+/// Interval of a watcher's requests for a substitute; shorter than `SUBSTITUTION_TIME`, so that the substitutes
+/// overlap.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a proxy without a confirmation since its start waits for the watchers before it may watch as an extra.
+const INITIAL_WAIT: Duration = Duration::from_secs(3);
 
-/// One wait at the store.
+/// The times of one long poll of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreWatch {
-    /// How long the store is asked to wait for a change.
+    /// How long the store waits for a change before it answers.
     pub wait: Duration,
-    /// When its connection is held to be silent.
+    /// When the call fails because the connection counts as lost.
     pub timeout: Duration,
 }
 
 impl StoreWatch {
-    /// A watch of a length by `luck`, from 0 to 1. After a change all take up their watches at the same moment; lengths that
-    /// differ spread them out, so that soon after all connections went silent one of them is opened anew.
-    pub fn with_jitter(luck: f64) -> Self {
-        let wait = SHORTEST_WAIT + (LONGEST_WAIT - SHORTEST_WAIT).mul_f64(luck);
-        Self { wait, timeout: wait + LATE }
+    /// A watch with a length chosen by `jitter`, from 0 to 1. Watchers start together after a change; different
+    /// lengths spread their next calls, so that one of them soon reconnects if all connections are lost at once.
+    pub fn with_jitter(jitter: f64) -> Self {
+        let wait = MIN_WAIT + (MAX_WAIT - MIN_WAIT).mul_f64(jitter);
+        Self { wait, timeout: wait + ANSWER_TIMEOUT }
     }
 }
 
-/// What a watcher without the store, and its substitute, keep of that.
+/// State of a watcher that can't reach the store, and of the substitute that watches for another proxy.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WatchSubstitution {
-    /// When this proxy asked for a substitute last.
-    asked: Option<Instant>,
-    /// It watches in the place of another until then.
+    /// When this proxy last requested a substitute.
+    requested_at: Option<Instant>,
+    /// End of this proxy's own time as a substitute.
     until: Option<Instant>,
 }
 
 impl WatchSubstitution {
-    /// Whether to ask another proxy to watch, now that the store gives this one no answer. One that is a substitute
-    /// itself doesn't: where the store fails everybody, the whole fleet would come to ask it.
+    /// Whether this proxy should request a substitute now that the store doesn't answer; if so, records the request.
+    /// A substitute requests none: otherwise the whole fleet would watch a store that is down for all.
     pub fn should_request_substitute(&mut self, now: Instant) -> bool {
-        let asked_lately = self.asked.is_some_and(|it| now.saturating_duration_since(it) < ASKS_AGAIN);
-        if self.is_substitute(now) || asked_lately {
+        let requested_recently =
+            self.requested_at.is_some_and(|it| now.saturating_duration_since(it) < REQUEST_INTERVAL);
+        if self.is_substitute(now) || requested_recently {
             return false;
         }
-        self.asked = Some(now);
+        self.requested_at = Some(now);
         true
     }
 
-    /// The store answers: the next loss of it is news.
+    /// Records that the store answered, so that the next failure requests a substitute at once.
     pub fn store_answered(&mut self) {
-        self.asked = None;
+        self.requested_at = None;
     }
 
-    /// This proxy is asked to be the substitute of another.
+    /// Makes this proxy a substitute for a limited time.
     pub fn start_substituting(&mut self, now: Instant) {
-        self.until = Some(now + SUBSTITUTES_FOR);
+        self.until = Some(now + SUBSTITUTION_TIME);
     }
 
-    /// Whether this proxy watches in the place of another.
+    /// Whether this proxy is a substitute at `now`.
     pub fn is_substitute(&self, now: Instant) -> bool {
         self.until.is_some_and(|it| now < it)
     }
 }
 
-/// The place of `me` among the members of a data centre, itself not among them, by a hash of their keys.
+/// The rank of the proxy with the key `me` in its data centre, from 0, by a hash of the keys; `others` are the keys
+/// of the other proxies there.
 pub fn watch_rank(me: u64, others: impl Iterator<Item = u64>) -> usize {
     let score = |key: u64| (mix(&[key]), key);
-    let mine = score(me);
-    others.filter(|it| score(*it) < mine).count()
+    let own_score = score(me);
+    others.filter(|it| score(*it) < own_score).count()
 }
 
-/// Whether the member with that place in one of `data_centres` watches, if the newest confirmation anyone had is that old.
+/// Whether the proxy of this rank watches the store; `confirmed_ago` is the age of the newest confirmation known.
 pub fn is_watcher(rank: usize, data_centres: usize, confirmed_ago: Duration) -> bool {
-    is_turn(rank, data_centres, confirmed_ago, SILENCE)
+    should_watch(rank, data_centres, confirmed_ago, MAX_CONFIRMATION_AGE)
 }
 
-/// Whether the member with that place watches, if it has had no confirmation since its start.
+/// Whether the proxy of this rank watches the store while it knows of no confirmation since its own start.
 pub fn is_initial_watcher(rank: usize, data_centres: usize, started_ago: Duration) -> bool {
-    is_turn(rank, data_centres, started_ago, FIRST)
+    should_watch(rank, data_centres, started_ago, INITIAL_WAIT)
 }
 
-fn is_turn(rank: usize, data_centres: usize, silent_for: Duration, limit: Duration) -> bool {
-    let watchers = WATCHERS.max(WATCHERS_IN_ALL.div_ceil(data_centres.max(1)));
-    let Some(later) = rank.checked_sub(watchers) else { return true };
-    silent_for > limit + STEP.saturating_mul(u32::try_from(later).unwrap_or(u32::MAX))
+fn should_watch(rank: usize, data_centres: usize, unconfirmed_for: Duration, limit: Duration) -> bool {
+    let watchers = WATCHERS_PER_DATA_CENTRE.max(MIN_WATCHERS.div_ceil(data_centres.max(1)));
+    let Some(extra) = rank.checked_sub(watchers) else { return true };
+    unconfirmed_for > limit + EXTRA_WATCHER_INTERVAL.saturating_mul(u32::try_from(extra).unwrap_or(u32::MAX))
 }
