--- a/tests/incarnation.rs
+++ b/tests/incarnation.rs
@@ -1,10 +1,11 @@
-//! Announcements of the lives of one endpoint: late, doubled, under the same name, and from clocks that are set.
+//! Announcements of several incarnations of one endpoint: late, duplicated, under the same name, and after clock
+//! changes.
 
 use jayreach::decide::incarnation::{AnnouncementClass, EndpointId, KnownIncarnation, classify_announcement};
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// The known life: `a`, born at 1,000, at its sequence 7.
+/// Sequence number of the last announcement of the known incarnation, `a` started at 1,000.
 const KNOWN_SEQUENCE: u64 = 7;
 
 fn id(name: &str, started_at: impl Into<Option<u64>>) -> EndpointId {
@@ -16,70 +17,73 @@
 }
 
 #[rstest]
-#[case::the_next_word(id("a", 1_000), 8, AnnouncementClass::Update)]
-#[case::the_same_word_again(id("a", 1_000), 7, AnnouncementClass::Stale)]
-#[case::a_word_overtaken(id("a", 1_000), 6, AnnouncementClass::Stale)]
-#[case::restarted_under_its_name(id("a", 1_001), 1, AnnouncementClass::NewIncarnation)]
-#[case::an_earlier_life_of_that_name(id("a", 999), 99, AnnouncementClass::Stale)]
-#[case::no_start_told(id("a", None), 8, AnnouncementClass::Update)]
-#[case::no_start_told_and_late(id("a", None), 7, AnnouncementClass::Stale)]
+#[case::newer_announcement(id("a", 1_000), 8, AnnouncementClass::Update)]
+#[case::duplicate_announcement(id("a", 1_000), 7, AnnouncementClass::Stale)]
+#[case::reordered_announcement(id("a", 1_000), 6, AnnouncementClass::Stale)]
+#[case::restarted_under_the_same_name(id("a", 1_001), 1, AnnouncementClass::NewIncarnation)]
+#[case::former_incarnation_of_that_name(id("a", 999), 99, AnnouncementClass::Stale)]
+#[case::no_start_time(id("a", None), 8, AnnouncementClass::Update)]
+#[case::no_start_time_and_duplicate(id("a", None), 7, AnnouncementClass::Stale)]
 #[case::another_endpoint(id("b", 2_000), 1, AnnouncementClass::Unconfirmed)]
-#[case::an_endpoint_from_before(id("b", 500), 99, AnnouncementClass::Stale)]
-#[case::another_endpoint_without_a_start(id("b", None), 1, AnnouncementClass::Unconfirmed)]
-fn a_living_endpoint_is_told_from_others(
-    #[case] told: EndpointId,
+#[case::endpoint_started_before(id("b", 500), 99, AnnouncementClass::Stale)]
+#[case::another_endpoint_without_start_time(id("b", None), 1, AnnouncementClass::Unconfirmed)]
+fn announcements_are_classified_while_the_known_endpoint_is_alive(
+    #[case] announced: EndpointId,
     #[case] sequence: u64,
-    #[case] wanted: AnnouncementClass,
+    #[case] expected: AnnouncementClass,
 ) {
-    let life = id("a", 1_000);
+    let known_id = id("a", 1_000);
 
-    let verdict = classify_announcement(Some(known(&life, 0.5)), &[], &told, sequence);
+    let class = classify_announcement(Some(known(&known_id, 0.5)), &[], &announced, sequence);
 
-    assert_eq!(verdict, wanted);
+    assert_eq!(class, expected);
 }
 
 #[rstest]
 #[case::another_endpoint(id("b", 2_000), 3.0, AnnouncementClass::NewIncarnation)]
-#[case::an_endpoint_from_before(id("b", 500), 3.0, AnnouncementClass::Stale)]
-#[case::after_the_clock_was_set_back(id("a", 500), 5.0, AnnouncementClass::NewIncarnation)]
-fn a_silent_endpoint_gives_way(
-    #[case] told: EndpointId,
+#[case::endpoint_started_before(id("b", 500), 3.0, AnnouncementClass::Stale)]
+#[case::after_a_clock_set_back(id("a", 500), 5.0, AnnouncementClass::NewIncarnation)]
+fn an_endpoint_that_misses_heartbeats_is_replaced(
+    #[case] announced: EndpointId,
     #[case] missed_heartbeats: f64,
-    #[case] wanted: AnnouncementClass,
+    #[case] expected: AnnouncementClass,
 ) {
-    let life = id("a", 1_000);
+    let known_id = id("a", 1_000);
 
-    assert_eq!(classify_announcement(Some(known(&life, missed_heartbeats)), &[], &told, 1), wanted);
+    assert_eq!(classify_announcement(Some(known(&known_id, missed_heartbeats)), &[], &announced, 1), expected);
 }
 
 #[test]
-fn a_life_whose_start_seems_earlier_than_a_former_one_is_still_heard() {
-    let life = id("a", 500);
-    let former = [id("a", 1_000)];
+fn a_known_incarnation_with_an_earlier_start_time_than_a_retired_one_is_still_updated() {
+    let known_id = id("a", 500);
+    let retired = [id("a", 1_000)];
 
     assert_eq!(
-        classify_announcement(Some(known(&life, 0.5)), &former, &life, KNOWN_SEQUENCE + 1),
+        classify_announcement(Some(known(&known_id, 0.5)), &retired, &known_id, KNOWN_SEQUENCE + 1),
         AnnouncementClass::Update
     );
     assert_eq!(
-        classify_announcement(Some(known(&life, 0.5)), &former, &life, KNOWN_SEQUENCE),
+        classify_announcement(Some(known(&known_id, 0.5)), &retired, &known_id, KNOWN_SEQUENCE),
         AnnouncementClass::Stale
     );
-    assert_eq!(classify_announcement(Some(known(&life, 0.5)), &former, &former[0], 99), AnnouncementClass::Stale);
+    assert_eq!(classify_announcement(Some(known(&known_id, 0.5)), &retired, &retired[0], 99), AnnouncementClass::Stale);
 }
 
 #[rstest]
-#[case::itself(id("a", 1_000), AnnouncementClass::Stale)]
-#[case::an_earlier_life(id("a", 900), AnnouncementClass::Stale)]
-#[case::without_a_start(id("a", None), AnnouncementClass::Stale)]
-#[case::a_later_life(id("a", 1_001), AnnouncementClass::NewIncarnation)]
+#[case::the_retired_incarnation(id("a", 1_000), AnnouncementClass::Stale)]
+#[case::former_incarnation(id("a", 900), AnnouncementClass::Stale)]
+#[case::without_start_time(id("a", None), AnnouncementClass::Stale)]
+#[case::newer_incarnation(id("a", 1_001), AnnouncementClass::NewIncarnation)]
 #[case::another_endpoint(id("b", 10), AnnouncementClass::NewIncarnation)]
-fn what_is_over_stays_over_and_its_name_may_come_back(#[case] told: EndpointId, #[case] wanted: AnnouncementClass) {
-    assert_eq!(classify_announcement(None, &[id("a", 1_000)], &told, 99), wanted);
+fn a_retired_incarnation_stays_retired_and_its_name_may_be_reused(
+    #[case] announced: EndpointId,
+    #[case] expected: AnnouncementClass,
+) {
+    assert_eq!(classify_announcement(None, &[id("a", 1_000)], &announced, 99), expected);
 }
 
 #[test]
-fn a_start_in_the_future_is_not_believed() {
+fn a_start_time_in_the_future_is_dropped() {
     assert_eq!(EndpointId::new("a", Some(u64::MAX), 1_000).started_at, None);
     assert_eq!(EndpointId::new("a", Some(1_000 + 2_000), 1_000).started_at, Some(3_000));
     assert_eq!(EndpointId::new("a", Some(u64::MAX), u64::MAX).started_at, Some(u64::MAX));
@@ -88,33 +92,33 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Lives follow each other at one address, some under the same name; each announcement comes at once, or late, or
-    /// twice. Whatever the order, the guard never goes back to a life that is over.
+    /// Late and duplicate announcements must never bring back an ended incarnation; incarnations at one address may
+    /// share a name.
     #[test]
-    fn an_earlier_life_never_comes_back(
+    fn a_former_incarnation_never_comes_back(
         names in proptest::collection::vec(0u8..3, 1..8),
         order in proptest::collection::vec((0usize..8, 0u64..6), 1..60),
     ) {
-        let lives: Vec<EndpointId> =
+        let incarnations: Vec<EndpointId> =
             names.iter().enumerate().map(|(at, name)| id(&format!("n{name}"), at as u64 * 100)).collect();
-        let mut now_known: Option<(EndpointId, u64)> = None;
+        let mut known_now: Option<(EndpointId, u64)> = None;
         let mut retired: Vec<EndpointId> = Vec::new();
-        let mut begun = 0;
+        let mut started = 0;
         for (at, sequence) in order {
-            let at = at.min(begun).min(lives.len() - 1);
-            begun = begun.max(at + 1);
-            let told = &lives[at];
-            let life = now_known.as_ref().map(|(id, sequence)| {
+            let at = at.min(started).min(incarnations.len() - 1);
+            started = started.max(at + 1);
+            let announced = &incarnations[at];
+            let known_incarnation = known_now.as_ref().map(|(id, sequence)| {
                 KnownIncarnation { id, sequence: *sequence, accepts_work: true, missed_heartbeats: 3.0 }
             });
-            match classify_announcement(life, &retired, told, sequence) {
+            match classify_announcement(known_incarnation, &retired, announced, sequence) {
                 AnnouncementClass::NewIncarnation => {
-                    if let Some((before, _)) = now_known.replace((told.clone(), sequence)) {
-                        prop_assert!(before.started_at < told.started_at, "{:?} came back after {:?}", told, before);
+                    if let Some((before, _)) = known_now.replace((announced.clone(), sequence)) {
+                        prop_assert!(before.started_at < announced.started_at, "{:?} came back after {:?}", announced, before);
                         retired.push(before);
                     }
                 }
-                AnnouncementClass::Update => now_known = Some((told.clone(), sequence)),
+                AnnouncementClass::Update => known_now = Some((announced.clone(), sequence)),
                 AnnouncementClass::Stale | AnnouncementClass::Unconfirmed => (),
             }
         }
