--- a/tests/slot_time.rs
+++ b/tests/slot_time.rs
@@ -1,4 +1,4 @@
-//! The account of slots: it adds up, whatever happens.
+//! The slot time totals account for all slot time, whatever the occupancy.
 
 use std::time::{Duration, Instant};
 
@@ -15,22 +15,22 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn the_sums_are_slots_times_time(#[case] seed: u64) {
+fn the_totals_add_up_to_slots_times_elapsed_time(#[case] seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let start = Instant::now();
     let (mut now, mut account) = (start, SlotTime::default());
-    let mut works: Vec<Instant> = Vec::new();
+    let mut running: Vec<Instant> = Vec::new();
     account.advance(SlotOccupancy { slots: SLOTS, usable: SLOTS, ..SlotOccupancy::default() }, now);
 
     for _ in 0..2_000 {
         now += Duration::from_millis(rng.random_range(0..50));
         let usable = if rng.random_bool(0.2) { SLOTS.div_ceil(2) } else { SLOTS };
-        if rng.random_bool(0.5) && works.len() < 4 {
-            works.push(now);
-        } else if let Some(begun) = works.pop() {
-            account.add_work(SlotUse::ALL[rng.random_range(0..5)], now - begun);
+        if rng.random_bool(0.5) && running.len() < 4 {
+            running.push(now);
+        } else if let Some(started) = running.pop() {
+            account.add_work(SlotUse::ALL[rng.random_range(0..5)], now - started);
         }
-        let working = u32::try_from(works.len()).expect("few");
+        let working = u32::try_from(running.len()).expect("fewer than SLOTS");
         let offered = rng.random_range(0..=SLOTS - working);
         let standing = if rng.random_bool(0.3) { EndpointStanding::Suspect } else { EndpointStanding::Clean };
         account.advance(
@@ -39,17 +39,21 @@
         );
     }
 
-    let under_way: Duration = works.iter().map(|it| now - *it).sum();
+    let running_time: Duration = running.iter().map(|it| now - *it).sum();
     let sum: Duration = SlotUse::ALL.iter().map(|it| account.total(*it)).sum();
-    assert_eq!(sum + under_way, (now - start) * SLOTS);
+    assert_eq!(sum + running_time, (now - start) * SLOTS);
 }
 
 #[rstest]
-#[case::nothing_waits(EndpointStanding::Clean, false, SlotUse::Idle)]
-#[case::work_waits(EndpointStanding::Clean, true, SlotUse::Blocked)]
-#[case::it_failed(EndpointStanding::Suspect, true, SlotUse::Distrusted)]
-#[case::it_declined(EndpointStanding::Declining, false, SlotUse::Distrusted)]
-fn a_free_slot_has_its_reason(#[case] standing: EndpointStanding, #[case] has_waiters: bool, #[case] wanted: SlotUse) {
+#[case::no_request_waits(EndpointStanding::Clean, false, SlotUse::Idle)]
+#[case::a_request_waits(EndpointStanding::Clean, true, SlotUse::Blocked)]
+#[case::endpoint_suspect(EndpointStanding::Suspect, true, SlotUse::Distrusted)]
+#[case::endpoint_declining(EndpointStanding::Declining, false, SlotUse::Distrusted)]
+fn a_free_slot_is_counted_by_its_reason(
+    #[case] standing: EndpointStanding,
+    #[case] has_waiters: bool,
+    #[case] expected: SlotUse,
+) {
     let start = Instant::now();
     let mut account = SlotTime::default();
     let occupancy = SlotOccupancy { slots: SLOTS, usable: SLOTS, offered: 1, working: 1, standing, has_waiters };
@@ -57,6 +61,6 @@
     account.advance(occupancy, start);
     account.advance(occupancy, start + Duration::from_secs(2));
 
-    assert_eq!(account.total(wanted), Duration::from_secs(6));
+    assert_eq!(account.total(expected), Duration::from_secs(6));
     assert_eq!(account.total(SlotUse::Offered), Duration::from_secs(2));
 }
