--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,30 +1,30 @@
-//! The stages of a stop, over the graces that platforms grant.
+//! The stages of a graceful shutdown, for several lengths of the grace.
 
 use std::time::{Duration, Instant};
 
 use jayreach::decide::shutdown::{Shutdown, ShutdownStage};
 use rstest::rstest;
 
-const LOOK: Duration = Duration::from_millis(100);
+const STEP: Duration = Duration::from_millis(100);
 
-/// Looks every 100 ms whether the stop is done; `busy` and `again` are asked with the time since the SIGTERM. Returns
-/// the stages with the times at which they began.
-fn play(
+/// Advances a shutdown every 100 ms until it is done; `busy` and `sigterm` get the time since the first SIGTERM.
+/// Returns the stages with the times at which they began.
+fn run_shutdown(
     grace: Duration,
     busy: impl Fn(Duration) -> bool,
-    again: impl Fn(Duration) -> bool,
+    sigterm: impl Fn(Duration) -> bool,
 ) -> Vec<(ShutdownStage, Duration)> {
     let start = Instant::now();
-    let mut stop = Shutdown::new(start, grace);
-    let mut stages = vec![(stop.stage(), Duration::ZERO)];
+    let mut shutdown = Shutdown::new(start, grace);
+    let mut stages = vec![(shutdown.stage(), Duration::ZERO)];
     for at in 1..1_000 {
-        let passed = LOOK * at;
-        if again(passed) {
-            stop.extend_grace(start + passed);
+        let elapsed = STEP * at;
+        if sigterm(elapsed) {
+            shutdown.extend_grace(start + elapsed);
         }
-        let stage = stop.advance(start + passed, busy(passed));
-        if stages.last().expect("it began with one").0 != stage {
-            stages.push((stage, passed));
+        let stage = shutdown.advance(start + elapsed, busy(elapsed));
+        if stages.last().expect("it has an initial stage").0 != stage {
+            stages.push((stage, elapsed));
         }
         if stage == ShutdownStage::Done {
             break;
@@ -33,7 +33,7 @@
     stages
 }
 
-fn began(stages: &[(ShutdownStage, Duration)], stage: ShutdownStage) -> Option<Duration> {
+fn start_of(stages: &[(ShutdownStage, Duration)], stage: ShutdownStage) -> Option<Duration> {
     stages.iter().find(|it| it.0 == stage).map(|it| it.1)
 }
 
@@ -41,25 +41,26 @@
     false
 }
 
-/// Idle at 3.2 s, busy again with work that the guard took at 4 s: the process must not end under it.
+/// The proxy is idle at 3.2 s, and its guard starts a request at 4 s if it still accepts any: the process must not exit
+/// before that request ends.
 #[rstest]
 #[case(10)]
 #[case(30)]
-fn an_idle_moment_ends_nothing_while_work_is_taken(#[case] grace_s: u64) {
+fn an_idle_moment_does_not_end_the_process_while_requests_are_accepted(#[case] grace_s: u64) {
     let grace = Duration::from_secs(grace_s);
-    let worked = Duration::from_millis(4_000)..Duration::from_millis(6_500);
-    // Work is taken only if the hand-over goes on at 4 s.
-    let idle = play(grace, never, never);
-    let taken = began(&idle, ShutdownStage::Finishing).expect("it finishes") > worked.start;
-    let busy = |it: Duration| it < Duration::from_millis(3_000) || (taken && worked.contains(&it));
+    let run = Duration::from_millis(4_000)..Duration::from_millis(6_500);
+    // The request is accepted only if the hand-over stage lasts beyond 4 s.
+    let idle = run_shutdown(grace, never, never);
+    let accepted = start_of(&idle, ShutdownStage::Finishing).expect("it has a finishing stage") > run.start;
+    let busy = |it: Duration| it < Duration::from_millis(3_000) || (accepted && run.contains(&it));
 
-    let stages = play(grace, busy, never);
+    let stages = run_shutdown(grace, busy, never);
 
-    let finishing = began(&stages, ShutdownStage::Finishing).expect("no work is taken any more before it is done");
-    let done = began(&stages, ShutdownStage::Done).expect("it ends");
+    let finishing = start_of(&stages, ShutdownStage::Finishing).expect("it has a finishing stage");
+    let done = start_of(&stages, ShutdownStage::Done).expect("it ends within the steps");
     assert!(finishing < done, "{stages:?}");
-    assert!(!taken || done >= worked.end, "{stages:?}");
-    assert!(taken || finishing <= worked.start, "what came at 4 s was refused: {stages:?}");
+    assert!(!accepted || done >= run.end, "{stages:?}");
+    assert!(accepted || finishing <= run.start, "the request at 4 s was refused: {stages:?}");
 }
 
 #[rstest]
@@ -67,33 +68,33 @@
 #[case(6)]
 #[case(10)]
 #[case(30)]
-fn idle_or_not_it_ends_within_the_grace_and_never_from_handing_over(#[case] grace_s: u64) {
+fn it_ends_within_the_grace_and_only_after_refusing_requests(#[case] grace_s: u64) {
     let grace = Duration::from_secs(grace_s);
 
     for busy_for_ms in (0..20_000).step_by(500) {
         let busy_for = Duration::from_millis(busy_for_ms);
-        let stages = play(grace, |it| it < busy_for, never);
+        let stages = run_shutdown(grace, |it| it < busy_for, never);
 
-        let done = began(&stages, ShutdownStage::Done).expect("it ends");
+        let done = start_of(&stages, ShutdownStage::Done).expect("it ends within the steps");
         assert!(done <= grace, "{busy_for:?}: {stages:?}");
-        let cut = busy_for > done;
-        assert!(!cut || done + Duration::from_millis(500) >= grace, "{busy_for:?}: {stages:?}");
-        let finishing = began(&stages, ShutdownStage::Finishing);
+        let cut_off = busy_for > done;
+        assert!(!cut_off || done + Duration::from_millis(500) >= grace, "{busy_for:?}: {stages:?}");
+        let finishing = start_of(&stages, ShutdownStage::Finishing);
         assert!(finishing.is_some_and(|it| it < done), "{busy_for:?}: {stages:?}");
     }
 }
 
 #[test]
-fn a_second_sigterm_grants_the_grace_anew_and_takes_no_more_work() {
+fn a_second_sigterm_restarts_the_grace_and_accepts_no_further_requests() {
     let grace = Duration::from_secs(6);
     let busy = |it: Duration| it < Duration::from_millis(7_900);
 
-    let stages = play(grace, busy, |it| it == Duration::from_secs(2));
+    let stages = run_shutdown(grace, busy, |it| it == Duration::from_secs(2));
 
-    assert_eq!(began(&stages, ShutdownStage::Finishing), Some(Duration::from_millis(2_700)));
+    assert_eq!(start_of(&stages, ShutdownStage::Finishing), Some(Duration::from_millis(2_700)));
     assert_eq!(
-        began(&stages, ShutdownStage::Done),
+        start_of(&stages, ShutdownStage::Done),
         Some(Duration::from_millis(7_700)),
-        "the new grace less the last answers"
+        "the new grace less the time for final answers"
     );
 }
