--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Whom proxies link to, and which of them watch the store, over fleets of a hundred and of hundreds.
+//! Which peers proxies link to, and which proxies watch the store, for several fleet sizes.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     data_centre: usize,
 }
 
-/// Three services of unlike size over five data centres.
+/// Three services of different sizes, spread over five data centres.
 fn fleet(size: usize) -> Vec<Vm> {
     let service = |at: usize| match at * 100 / size {
         ..24 => "portal",
@@ -30,10 +30,10 @@
     (0..size).map(|at| Vm { key: mix(&[at as u64, 7]), service: service(at), data_centre: at % 5 }).collect()
 }
 
-/// The keys of those that `me` links to, of those that `reachable` says.
-fn chosen(me: Vm, fleet: &[Vm], reachable: impl Fn(Vm) -> bool) -> Vec<u64> {
+/// The sorted keys of the peers that `me` links to, given which proxies are reachable.
+fn chosen_keys(me: Vm, fleet: &[Vm], reachable: impl Fn(Vm) -> bool) -> Vec<u64> {
     let others: Vec<Vm> = fleet.iter().copied().filter(|it| it.key != me.key).collect();
-    let members: Vec<PeerCandidate<'_>> = others
+    let candidates: Vec<PeerCandidate<'_>> = others
         .iter()
         .map(|it| PeerCandidate {
             key: it.key,
@@ -42,12 +42,12 @@
             reachable: reachable(*it),
         })
         .collect();
-    let mut keys: Vec<u64> = choose_peers(me.key, &members).into_iter().map(|at| others[at].key).collect();
+    let mut keys: Vec<u64> = choose_peers(me.key, &candidates).into_iter().map(|at| others[at].key).collect();
     keys.sort_unstable();
     keys
 }
 
-fn of_service(keys: &[u64], fleet: &[Vm], service: &str) -> usize {
+fn count_of_service(keys: &[u64], fleet: &[Vm], service: &str) -> usize {
     fleet.iter().filter(|it| it.service == service && keys.binary_search(&it.key).is_ok()).count()
 }
 
@@ -56,11 +56,11 @@
 #[case(91, 1.6)]
 #[case(354, 1.6)]
 #[case(1_000, 1.6)]
-fn each_guard_has_about_as_many_ingresses_as_the_others(#[case] size: usize, #[case] most: f64) {
+fn links_are_spread_evenly_over_guards(#[case] size: usize, #[case] max_ratio: f64) {
     let fleet = fleet(size);
-    let links: Vec<Vec<u64>> = fleet.iter().map(|it| chosen(*it, &fleet, |_| true)).collect();
+    let links: Vec<Vec<u64>> = fleet.iter().map(|it| chosen_keys(*it, &fleet, |_| true)).collect();
 
-    // Who chose it may send to it, and it may send to whom it chose: both sides keep the connection.
+    // Both sides of a link may send requests over it.
     let linked = |a: usize, b: usize| {
         links[a].binary_search(&fleet[b].key).is_ok() || links[b].binary_search(&fleet[a].key).is_ok()
     };
@@ -70,7 +70,7 @@
         let counts: Vec<usize> = guards.iter().map(|it| ingresses(*it)).collect();
         let mean = counts.iter().sum::<usize>() as f64 / counts.len() as f64;
         let busiest = *counts.iter().max().expect("there are guards") as f64;
-        assert!(busiest / mean <= most, "{service}: {busiest} of {mean:.1}");
+        assert!(busiest / mean <= max_ratio, "{service}: the busiest guard has {busiest} links, the mean is {mean:.1}");
     }
 }
 
@@ -78,56 +78,56 @@
 #[case(91)]
 #[case(354)]
 #[case(2_400)]
-fn links_stay_few_as_the_fleet_grows(#[case] size: usize) {
+fn the_number_of_links_does_not_grow_with_the_fleet(#[case] size: usize) {
     let fleet = fleet(size);
 
-    let most = fleet.iter().take(50).map(|it| chosen(*it, &fleet, |_| true).len()).max();
+    let most = fleet.iter().take(50).map(|it| chosen_keys(*it, &fleet, |_| true).len()).max();
 
     assert_eq!(most, Some(24));
 }
 
 #[test]
-fn a_service_with_few_guards_is_linked_whole() {
+fn all_guards_of_a_small_service_are_linked() {
     let fleet = fleet(24);
 
-    let keys = chosen(fleet[0], &fleet, |_| true);
+    let keys = chosen_keys(fleet[0], &fleet, |_| true);
 
-    assert!(of_service(&keys, &fleet, "portal") >= 5, "all but itself");
-    assert!(of_service(&keys, &fleet, "vouchers") >= 8);
+    assert!(count_of_service(&keys, &fleet, "portal") >= 5, "all but the proxy itself");
+    assert!(count_of_service(&keys, &fleet, "vouchers") >= 8);
 }
 
 #[test]
-fn one_that_leaves_moves_only_the_connections_of_those_that_chose_it() {
+fn when_a_proxy_leaves_only_the_proxies_that_chose_it_change_a_link() {
     let before = fleet(354);
     let gone = before[100];
     let after: Vec<Vm> = before.iter().copied().filter(|it| it.key != gone.key).collect();
 
     for me in &after {
-        let (old, new) = (chosen(*me, &before, |_| true), chosen(*me, &after, |_| true));
+        let (old, new) = (chosen_keys(*me, &before, |_| true), chosen_keys(*me, &after, |_| true));
         let kept = new.iter().filter(|it| old.binary_search(it).is_ok()).count();
         let lost = old.binary_search(&gone.key).is_ok();
         assert_eq!(kept, if lost { old.len() - 1 } else { old.len() }, "{me:?}");
     }
 }
 
-/// More than half of the fleet loses its power at the same moment.
+/// More than half of the fleet fails at the same moment.
 #[test]
-fn who_cannot_be_reached_is_made_up_for() {
+fn unreachable_peers_are_replaced() {
     let fleet = fleet(354);
     let mut rng = SmallRng::seed_from_u64(7);
     let dead: Vec<u64> = fleet.iter().filter(|_| rng.random_bool(0.55)).map(|it| it.key).collect();
-    let lives = |it: Vm| !dead.contains(&it.key);
+    let is_alive = |it: Vm| !dead.contains(&it.key);
 
-    for me in fleet.iter().copied().filter(|it| lives(*it)) {
-        let keys: Vec<u64> = chosen(me, &fleet, lives).into_iter().filter(|it| !dead.contains(it)).collect();
+    for me in fleet.iter().copied().filter(|it| is_alive(*it)) {
+        let keys: Vec<u64> = chosen_keys(me, &fleet, is_alive).into_iter().filter(|it| !dead.contains(it)).collect();
         for service in ["portal", "vouchers", "billing"] {
-            assert_eq!(of_service(&keys, &fleet, service), 8, "{me:?} {service}");
+            assert_eq!(count_of_service(&keys, &fleet, service), 8, "{me:?} {service}");
         }
     }
 }
 
-/// How many proxies watch of a fleet in which `confirmed_ago` is how old the newest confirmation is.
-fn watchers(fleet: &[Vm], confirmed_ago: Duration) -> usize {
+/// The number of watchers in the fleet when the newest confirmation is `confirmed_ago` old.
+fn count_watchers(fleet: &[Vm], confirmed_ago: Duration) -> usize {
     let data_centres = (0..5).filter(|it| fleet.iter().any(|vm| vm.data_centre == *it)).count();
     let near = |me: Vm| fleet.iter().filter(move |it| it.key != me.key && it.data_centre == me.data_centre);
     fleet
@@ -141,18 +141,18 @@
 #[case(354)]
 #[case(2_400)]
 fn three_watch_in_each_data_centre(#[case] size: usize) {
-    assert_eq!(watchers(&fleet(size), Duration::from_secs(5)), 15);
+    assert_eq!(count_watchers(&fleet(size), Duration::from_secs(5)), 15);
 }
 
 #[test]
-fn the_longer_nobody_hears_the_store_the_more_watch() {
+fn more_proxies_watch_the_older_the_last_confirmation() {
     let fleet = fleet(354);
 
-    let counts = [11, 12, 14, 20].map(|it| watchers(&fleet, Duration::from_secs(it)));
+    let counts = [11, 12, 14, 20].map(|it| count_watchers(&fleet, Duration::from_secs(it)));
 
     assert_eq!(counts[0], 15);
     assert!(counts[0] < counts[1] && counts[1] < counts[2], "{counts:?}");
-    assert_eq!(counts[3], 354, "in the end all do");
+    assert_eq!(counts[3], 354, "all proxies watch in the end");
 }
 
 #[test]
@@ -163,16 +163,16 @@
     assert_eq!(wait, Some(Duration::from_millis(6_800)));
 }
 
-/// Takes turns as members go at random: someone always watches, in each data centre that has anyone.
+/// Proxies leave at random; each data centre that still has any must have a watcher.
 #[test]
-fn whoever_goes_someone_watches() {
+fn each_data_centre_has_a_watcher_whichever_proxies_leave() {
     let mut fleet = fleet(120);
     let mut rng = SmallRng::seed_from_u64(11);
 
     while !fleet.is_empty() {
         fleet.swap_remove(rng.random_range(0..fleet.len()));
         let data_centres = (0..5).filter(|it| fleet.iter().any(|vm| vm.data_centre == *it)).count();
-        assert!(watchers(&fleet, Duration::from_secs(1)) >= data_centres);
+        assert!(count_watchers(&fleet, Duration::from_secs(1)) >= data_centres);
     }
 }
 
@@ -182,45 +182,43 @@
 fn six_watch_where_there_are_few_data_centres(#[case] data_centres: usize) {
     let fleet: Vec<Vm> = fleet(60).into_iter().filter(|it| it.data_centre < data_centres).collect();
 
-    assert_eq!(watchers(&fleet, Duration::from_secs(5)), 6);
+    assert_eq!(count_watchers(&fleet, Duration::from_secs(5)), 6);
 }
 
-/// A change need not be in force until three seconds after all connections went silent, and not until two seconds after it
-/// was accepted. The worst case is a watch that began just before the silence.
+/// A lost connection must be noticed within three seconds; the worst case is a watch that starts just before the loss.
 #[rstest]
 #[case(0.0)]
 #[case(0.5)]
 #[case(1.0)]
-fn a_silent_connection_is_noticed_in_time_for_a_change(#[case] luck: f64) {
-    let longest_pause_before_the_next_call = Duration::from_millis(300);
+fn a_lost_connection_is_noticed_in_time_for_a_change(#[case] jitter: f64) {
+    let longest_delay_before_the_next_call = Duration::from_millis(300);
 
-    let watch = StoreWatch::with_jitter(luck);
+    let watch = StoreWatch::with_jitter(jitter);
 
     assert!(watch.wait < watch.timeout);
-    assert!(watch.timeout + longest_pause_before_the_next_call < Duration::from_secs(3), "{watch:?}");
+    assert!(watch.timeout + longest_delay_before_the_next_call < Duration::from_secs(3), "{watch:?}");
 }
 
 #[test]
-fn watches_that_begin_together_do_not_end_together() {
+fn jitter_changes_the_length_of_a_watch() {
     assert!(StoreWatch::with_jitter(0.0).wait < StoreWatch::with_jitter(0.5).wait);
     assert!(StoreWatch::with_jitter(0.5).wait < StoreWatch::with_jitter(1.0).wait);
 }
 
-/// A watcher without the store asks again while that lasts; a substitute asks nobody, or the whole fleet would watch a store
-/// that fails everybody.
+/// A substitute must not request further substitutes: the whole fleet would watch a store that is down for all.
 #[test]
-fn a_watcher_without_the_store_asks_for_a_substitute_and_a_substitute_does_not() {
+fn a_watcher_that_cannot_reach_the_store_requests_substitutes_and_a_substitute_does_not() {
     let start = Instant::now();
     let second = Duration::from_secs(1);
     let mut watcher = WatchSubstitution::default();
     let mut substitute = WatchSubstitution::default();
 
-    let asked: Vec<bool> = (0..7).map(|it| watcher.should_request_substitute(start + it * second)).collect();
+    let requested: Vec<bool> = (0..7).map(|it| watcher.should_request_substitute(start + it * second)).collect();
     substitute.start_substituting(start);
 
-    assert_eq!(asked, [true, false, false, false, false, true, false]);
+    assert_eq!(requested, [true, false, false, false, false, true, false]);
     assert!(!substitute.should_request_substitute(start + second) && substitute.is_substitute(start + second));
-    assert!(!substitute.is_substitute(start + 10 * second), "no longer than needed");
+    assert!(!substitute.is_substitute(start + 10 * second), "the substitution ends");
     watcher.store_answered();
-    assert!(watcher.should_request_substitute(start + 7 * second), "the next loss is news");
+    assert!(watcher.should_request_substitute(start + 7 * second), "the next failure requests one at once");
 }
