--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -13,7 +13,7 @@
 pub struct RunningWork<'a> {
     /// Its grant's id at the guard.
     pub id: u64,
-    /// Its route.
+    /// The route by which it was sent.
     pub route: &'a str,
     /// The deadline given to the endpoint.
     pub deadline: Instant,
@@ -24,13 +24,13 @@
 /// Where a request comes from.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOrigin {
-    /// A caller.
+    /// Sent by a caller.
     Caller {
         /// Whether no running request can have made it; otherwise it is taken for a caller's because callers use the
         /// route.
         certain: bool,
     },
-    /// A request that runs at the VM's endpoint.
+    /// Made by a request that runs at the VM's endpoint.
     NestedCall {
         /// Ids of the running requests that may have made it; not empty.
         parents: Vec<u64>,
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The record after a crash; `self` is the record from when the request started, so simultaneous crashes
-    /// count once.
+    /// The record after a crash, based on the record from when the request started, so that simultaneous crashes count
+    /// once.
     fn after_crash(self, only_suspect: bool) -> Self {
         let added = if self.is_suspect() && only_suspect { SOLE_SUSPECT_EVIDENCE } else { SHARED_EVIDENCE };
         Self { evidence: self.evidence.saturating_add(added), ..self }
--- a/src/decide/slot_time.rs
+++ b/src/decide/slot_time.rs
@@ -5,7 +5,7 @@
 
 use super::suspicion::EndpointStanding;
 
-/// What a slot's time was spent on. The reasons for free slots are the uses from `Blocked` on.
+/// What a slot's time was spent on. The uses from `Blocked` on say why slots were free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUse {
     /// Running requests that the endpoint answered well.
@@ -102,7 +102,7 @@
 }
 
 impl SlotTime {
-    /// Adds the time since the last call by the previous occupancy, and sets the current one.
+    /// Adds the time since the last call, spent under the previous occupancy, and sets the current one.
     pub fn advance(&mut self, current: SlotOccupancy, now: Instant) {
         let elapsed = self.updated_at.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
         let SlotOccupancy { slots, usable, offered, working, .. } = self.occupancy;
--- a/src/decide/watchers.rs
+++ b/src/decide/watchers.rs
@@ -101,7 +101,7 @@
     should_watch(rank, data_centres, confirmed_ago, MAX_CONFIRMATION_AGE)
 }
 
-/// Whether the proxy of this rank watches the store while it knows of no confirmation since its own start.
+/// Whether the proxy of this rank watches the store when it has received no confirmation since its start.
 pub fn is_initial_watcher(rank: usize, data_centres: usize, started_ago: Duration) -> bool {
     should_watch(rank, data_centres, started_ago, INITIAL_WAIT)
 }
