--- a/src/proxy/client.rs
+++ b/src/proxy/client.rs
@@ -1,4 +1,4 @@
-//! Plain HTTP/1.1 connections that this process opens: to the store, and to the VM's endpoint.
+//! HTTP/1.1 client connections to the store and to the endpoint on this VM.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -15,29 +15,29 @@
 
 use crate::proxy::net::{self, AbortOnDropTask};
 
-/// The longest answer that is taken in, in bytes; it is held whole until it is passed on.
+/// Maximum size of a response body, in bytes. A body is buffered in full before it is passed on.
 pub(super) const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How long a connection may take to open: one lost packet costs a second.
+/// Timeout for opening a connection; it leaves room for one retransmitted SYN, which takes a second.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a call brought no whole answer.
+/// Why a call returned no complete response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[error("no connection: {0}")]
     NotConnected(io::Error),
-    /// The connection broke, or what came is not an answer.
-    #[error("broken: {0}")]
+    /// The connection broke, or the peer sent something that is not an HTTP response.
+    #[error("connection broken: {0}")]
     Broken(#[from] hyper::Error),
-    /// The answer's body broke off or is too long.
-    #[error("the answer's body: {0}")]
+    /// The response body was cut off or is too long.
+    #[error("reading the response body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No complete response arrived before the timeout.
+    #[error("no response before the timeout")]
     TimedOut,
 }
 
-/// An open connection with its task, which ends with it.
+/// An open connection. Dropping it aborts the task that drives it.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
@@ -45,31 +45,33 @@
 }
 
 impl Connection {
-    /// Connects to `address`.
+    /// Connects to `address` and performs the HTTP handshake.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = net::connect(address, CONNECT_TIMEOUT).await.map_err(CallError::NotConnected)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let task = AbortOnDropTask::spawn(async move {
             if let Err(error) = connection.await {
-                // The caller of the broken request hears of it; an idle connection's end harms no one.
-                log::debug!("a connection to {address} ended: {error}");
+                // A request in flight gets its own error; the end of an idle connection needs no report.
+                log::debug!("connection to {address} closed: {error}");
             }
         });
         Ok(Self { sender, _task: task })
     }
 }
 
-/// Takes in a whole body.
+/// Reads a body of at most `limit` bytes.
 pub(super) async fn collect_body(body: Incoming, limit: usize) -> Result<Bytes, CallError> {
     Limited::new(body, limit).collect().await.map(|it| it.to_bytes()).map_err(CallError::Body)
 }
 
-/// Whether a body was refused for its length.
+/// Whether `error` says that a body exceeded its size limit.
 pub(super) fn is_body_too_long(error: &CallError) -> bool {
     matches!(error, CallError::Body(it) if it.is::<LengthLimitError>())
 }
 
-/// Makes one call on a connection of its own, so that a silent one harms no other call.
+/// Makes one call on a new connection, so that a stalled connection affects no other call.
+///
+/// `limit` bounds the whole call, from connecting to the end of the response body.
 pub(crate) async fn call(
     address: SocketAddr,
     method: Method,
@@ -81,10 +83,11 @@
         let mut connection = Connection::open(address).await?;
         let mut req = Request::new(Full::new(body));
         *req.method_mut() = method;
-        *req.uri_mut() = path.parse().expect("a path of our own is one");
-        let host = address.to_string().parse().expect("an address is a header value");
+        *req.uri_mut() = path.parse().expect("paths of this process's own calls are valid");
+        let host = address.to_string().parse().expect("a socket address is a valid header value");
         req.headers_mut().insert(HOST, host);
-        req.headers_mut().insert(CONTENT_TYPE, "application/json".parse().expect("a constant is a header value"));
+        req.headers_mut()
+            .insert(CONTENT_TYPE, "application/json".parse().expect("the content type is a valid header value"));
         let resp = connection.sender.send_request(req).await?;
         let (head, body) = resp.into_parts();
         Ok(Response::from_parts(head, collect_body(body, MAX_RESPONSE_BYTES).await?))
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers are passed on.
+//! Removal of hop-by-hop headers before a message is forwarded.
 
 use hyper::{
     HeaderMap,
@@ -8,7 +8,7 @@
     },
 };
 
-/// Headers that concern one connection only; the length is written anew for each.
+/// Headers that apply to one connection only. The content length is set again by each sender.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -22,9 +22,9 @@
     UPGRADE,
 ];
 
-/// The headers without those that concern one connection only.
+/// Returns the headers to forward: all but the hop-by-hop headers and those listed in `Connection`.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|it| it.to_str().ok())
@@ -32,7 +32,7 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !HOP_BY_HOP.contains(name) && !named.iter().any(|it| it == name.as_str()) {
+        if !HOP_BY_HOP.contains(name) && !listed.iter().any(|it| it == name.as_str()) {
             kept.append(name.clone(), value.clone());
         }
     }
