--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,7 +1,6 @@
-//! Time that goes on while the VM is suspended.
+//! Clocks: a monotonic time that includes VM suspension, and wall-clock milliseconds.
 //!
-//! The steady clock stops during a suspension, so deadlines that a caller set before it would seem
-//! to lie further ahead than they do.
+//! `Instant` stops while the VM is suspended, so a deadline that was set before a suspension would expire too late.
 
 use std::{
     sync::OnceLock,
@@ -12,28 +11,28 @@
 
 use crate::decide::incarnation::UnixMillis;
 
-/// How far the boot clock was ahead of the steady one when the process first asked.
-static AHEAD_AT_START: OnceLock<Duration> = OnceLock::new();
+/// Value of [`suspended_time`] at the first call of [`now`].
+static SUSPENDED_AT_START: OnceLock<Duration> = OnceLock::new();
 
-/// Now, on the steady clock plus all time this VM was suspended since the process started.
+/// The monotonic clock plus the time that this VM has been suspended since the first call.
 pub(super) fn now() -> Instant {
-    let start = *AHEAD_AT_START.get_or_init(ahead);
-    Instant::now() + ahead().saturating_sub(start)
+    let start = *SUSPENDED_AT_START.get_or_init(suspended_time);
+    Instant::now() + suspended_time().saturating_sub(start)
 }
 
-/// Milliseconds since 1970 by the VM's clock, which may be set at any time.
+/// Milliseconds since the Unix epoch by the VM's wall clock, which may jump.
 pub(super) fn unix_millis() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixMillis::try_from(since.as_millis()).unwrap_or(UnixMillis::MAX)
 }
 
-/// By how much the boot clock is ahead of the steady one: the time spent suspended.
-fn ahead() -> Duration {
-    let steady = clock_gettime(ClockId::Monotonic);
+/// Total time that the VM has been suspended: the difference of the boot-time and the monotonic clock.
+fn suspended_time() -> Duration {
+    let monotonic = clock_gettime(ClockId::Monotonic);
     let boot = clock_gettime(ClockId::Boottime);
-    let nanos = (boot.tv_sec - steady.tv_sec) * 1_000_000_000 + (boot.tv_nsec - steady.tv_nsec);
-    // Two readings microseconds apart aren't a suspension.
-    const NOISE: Duration = Duration::from_millis(1);
-    let ahead = Duration::from_nanos(u64::try_from(nanos).unwrap_or(0));
-    if ahead < NOISE { Duration::ZERO } else { ahead }
+    let nanos = (boot.tv_sec - monotonic.tv_sec) * 1_000_000_000 + (boot.tv_nsec - monotonic.tv_nsec);
+    // The two clocks are not read at the same moment; smaller differences are not a suspension.
+    const MIN_SUSPENSION: Duration = Duration::from_millis(1);
+    let suspended = Duration::from_nanos(u64::try_from(nanos).unwrap_or(0));
+    if suspended < MIN_SUSPENSION { Duration::ZERO } else { suspended }
 }
