--- a/src/proxy/header_timeout.rs
+++ b/src/proxy/header_timeout.rs
@@ -1,5 +1,6 @@
-//! How long a request's head may take: a caller that is slower is told so, and an idle connection is not
-//! held to it.
+//! Header timeout on connections of callers: a header section that takes too long to arrive gets status 408.
+//!
+//! The time runs from the first byte of the header section, so idle keep-alive connections are not affected.
 
 use std::{
     cell::Cell,
@@ -16,75 +17,75 @@
     time::{Instant, Sleep, sleep_until},
 };
 
-/// The answer to a head that took too long. Nothing of the request was passed on.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+/// Response to a header section that took too long. No part of the request has been forwarded.
+const REQUEST_TIMEOUT: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// What a connection of a caller is at.
+/// State of a caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// No request is under way.
+    /// No request is in progress.
     Idle,
-    /// A head has begun to arrive.
-    Head,
-    /// A request's head is whole, and its answer is not made yet.
+    /// A header section has begun to arrive.
+    Headers,
+    /// The header section is complete and the response is not ready yet.
     Serving,
 }
 
-/// Tells a connection when its requests begin and end.
+/// Handle with which the HTTP service marks the beginning and the end of a request on its connection.
 #[derive(Debug, Clone)]
 pub(super) struct RequestPhase(Rc<Cell<Phase>>);
 
 impl RequestPhase {
-    /// A request's head is whole; the request ends when the result is dropped.
-    pub(super) fn serving(&self) -> Serving {
+    /// Marks a request as being served until the returned value is dropped.
+    pub(super) fn serving(&self) -> ServedRequest {
         self.0.set(Phase::Serving);
-        Serving(self.clone())
+        ServedRequest(self.clone())
     }
 }
 
-/// A request that is being served.
-pub(super) struct Serving(RequestPhase);
+/// A request that is being served. Dropping it marks the connection as idle.
+pub(super) struct ServedRequest(RequestPhase);
 
-impl Drop for Serving {
+impl Drop for ServedRequest {
     fn drop(&mut self) {
         self.0.0.set(Phase::Idle);
     }
 }
 
-/// A caller's connection that watches how long heads take.
+/// A caller's connection that enforces the header timeout.
 pub(super) struct HeaderTimeoutStream {
     stream: TcpStream,
     limit: Duration,
     phase: Rc<Cell<Phase>>,
-    /// When the head must be whole; means something in `Phase::Head` only.
-    overdue: Pin<Box<Sleep>>,
+    /// Fires when the header section must be complete; valid in `Phase::Headers` only.
+    timer: Pin<Box<Sleep>>,
 }
 
 impl HeaderTimeoutStream {
-    /// Each head may take `limit` from its first byte.
+    /// Wraps `stream`; each header section may take `limit` from its first byte.
     pub(super) fn new(stream: TcpStream, limit: Duration) -> (Self, RequestPhase) {
         let phase = Rc::new(Cell::new(Phase::Idle));
-        let overdue = Box::pin(sleep_until(Instant::now()));
-        (Self { stream, limit, phase: Rc::clone(&phase), overdue }, RequestPhase(phase))
+        let timer = Box::pin(sleep_until(Instant::now()));
+        (Self { stream, limit, phase: Rc::clone(&phase), timer }, RequestPhase(phase))
     }
 }
 
 impl AsyncRead for HeaderTimeoutStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let filled = buf.filled().len();
+        let filled_before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf)?;
         if read.is_ready() {
-            if self.phase.get() == Phase::Idle && buf.filled().len() > filled {
-                self.phase.set(Phase::Head);
-                let until = Instant::now() + self.limit;
-                self.overdue.as_mut().reset(until);
+            if self.phase.get() == Phase::Idle && buf.filled().len() > filled_before {
+                self.phase.set(Phase::Headers);
+                let deadline = Instant::now() + self.limit;
+                self.timer.as_mut().reset(deadline);
             }
             return Poll::Ready(Ok(()));
         }
-        if self.phase.get() == Phase::Head {
-            ready!(self.overdue.as_mut().poll(cx));
-            // The connection ends either way; a caller that doesn't read sees only that.
-            _ = Pin::new(&mut self.stream).poll_write(cx, TOO_SLOW);
+        if self.phase.get() == Phase::Headers {
+            ready!(self.timer.as_mut().poll(cx));
+            // The connection is closed whether or not the response could be written.
+            _ = Pin::new(&mut self.stream).poll_write(cx, REQUEST_TIMEOUT);
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Poll::Pending
