--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,4 +1,4 @@
-//! Announcements of the VM's endpoint, the platform's readiness question, metrics and status.
+//! Listeners and background tasks of a proxy, and its handlers for announcements, readiness checks, metrics and status.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,20 +25,25 @@
     },
 };
 
-/// The longest announcement, in bytes.
-const ANNOUNCEMENT_LIMIT: usize = 64 * 1024;
-/// How long a health question may take; it waits for a slot like any work.
+/// Maximum size of an announcement, in bytes.
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
+/// Timeout of a health check; the endpoint executes it in a slot like other requests.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after the start the endpoint is waited for before it is asked who it is.
-const FIND_AFTER: Duration = Duration::from_millis(150);
-/// The pause between such questions, and how many there are: it announces itself sooner or later.
-const FIND_PAUSE: Duration = Duration::from_millis(400);
-const FIND_TRIES: u32 = 3;
-/// How often the account of the slots is written: often enough to see a spell of failures, seldom enough to cost nothing.
-const SLOTS_EVERY: Duration = Duration::from_secs(5);
+/// Delay after the start before the endpoint is queried, if it has not announced itself.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(150);
+/// Pause between two queries.
+const DISCOVERY_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum number of queries; the endpoint's next heartbeat announces it as well.
+const DISCOVERY_ATTEMPTS: u32 = 3;
+/// Interval of the event lines with the use of slot time.
+const SLOT_TIMES_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Proxy {
-    /// Opens all listeners and serves them.
+    /// Opens all listeners and spawns their servers.
+    ///
+    /// # Errors
+    ///
+    /// An address of the settings can't be listened on.
     pub(super) fn start_listeners(self: &Rc<Self>) -> Result<(), Error> {
         let settings = Rc::clone(&self.settings.borrow());
         let open = |address| net::listen(address).map_err(|it| Error::io(format!("listening on {address}"), it));
@@ -49,24 +54,24 @@
         let metrics = open(settings.metrics)?;
 
         let proxy = Rc::clone(self);
-        let limits = Rc::clone(self);
-        let limits = move || limits.config.borrow().as_ref().map_or_else(RequestLimits::default, |it| it.limits);
-        spawn_local(server::http1(callers, limits, move |req| ingress::handle_request(Rc::clone(&proxy), req)));
+        let limits_proxy = Rc::clone(self);
+        let limits = move || limits_proxy.config.borrow().as_ref().map_or_else(RequestLimits::default, |it| it.limits);
+        spawn_local(server::serve_http1(callers, limits, move |req| ingress::handle_request(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
-        spawn_local(server::http2(peers, move |req| peer_server::handle(Rc::clone(&proxy), req)));
+        spawn_local(server::serve_http2(peers, move |req| peer_server::handle(Rc::clone(&proxy), req)));
         let proxy = Rc::clone(self);
-        let handle = move |req| announce(Rc::clone(&proxy), req);
-        spawn_local(server::http1(announcements, RequestLimits::default, handle));
+        let handle = move |req| handle_announcement(Rc::clone(&proxy), req);
+        spawn_local(server::serve_http1(announcements, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
         let handle = move |_| std::future::ready(proxy.readiness());
-        spawn_local(server::http1(readiness, RequestLimits::default, handle));
+        spawn_local(server::serve_http1(readiness, RequestLimits::default, handle));
         let proxy = Rc::clone(self);
-        let handle = move |req| std::future::ready(proxy.observe(&req));
-        spawn_local(server::http1(metrics, RequestLimits::default, handle));
+        let handle = move |req| std::future::ready(proxy.metrics_or_status(&req));
+        spawn_local(server::serve_http1(metrics, RequestLimits::default, handle));
         Ok(())
     }
 
-    /// Starts what runs beside the listeners.
+    /// Spawns the background tasks.
     pub(super) fn start_tasks(self: &Rc<Self>) {
         spawn_local(Rc::clone(self).read_initial_config());
         spawn_local(Rc::clone(self).follow_config());
@@ -78,20 +83,21 @@
         spawn_local(Rc::clone(self).run_anti_entropy());
         spawn_local(Rc::clone(self).announce_versions());
         spawn_local(Rc::clone(self).gossip_cases());
-        spawn_local(Rc::clone(self).find_endpoint());
-        spawn_local(Rc::clone(self).tell_slots());
+        spawn_local(Rc::clone(self).discover_endpoint());
+        spawn_local(Rc::clone(self).log_slot_times());
     }
 
-    /// Says from time to time where the time of the endpoint's slots went.
-    async fn tell_slots(self: Rc<Self>) {
+    /// Logs the use of the endpoint's slot time periodically.
+    async fn log_slot_times(self: Rc<Self>) {
         loop {
-            sleep(SLOTS_EVERY).await;
+            sleep(SLOT_TIMES_INTERVAL).await;
             let Some(endpoint) = self.guard.serving_endpoint() else { continue };
             let uses = self.guard.slot_time_ms();
             self.events.emit(&Event::Slots { service: &endpoint.service, slots: endpoint.slots, uses: &uses });
         }
     }
 
+    /// Answers the platform's readiness check.
     fn readiness(&self) -> FullResponse {
         if self.is_ready() {
             response(StatusCode::OK, Bytes::new())
@@ -100,7 +106,7 @@
         }
     }
 
-    fn observe(&self, req: &Request<Incoming>) -> FullResponse {
+    fn metrics_or_status(&self, req: &Request<Incoming>) -> FullResponse {
         match req.uri().path() {
             "/metrics" => {
                 let (running, waiting) = self.guard.load();
@@ -110,8 +116,8 @@
                     metrics::gauge!("jayreach_config_confirmed_seconds_ago").set(it.as_secs_f64());
                 }
                 metrics::gauge!("jayreach_config_watching").set(f64::from(u8::from(self.watching.get())));
-                for (on, millis) in self.guard.slot_time_ms() {
-                    metrics::counter!("jayreach_slot_milliseconds_total", "use" => on).absolute(millis);
+                for (slot_use, millis) in self.guard.slot_time_ms() {
+                    metrics::counter!("jayreach_slot_milliseconds_total", "use" => slot_use).absolute(millis);
                 }
                 response(StatusCode::OK, self.metrics.render())
             }
@@ -120,7 +126,7 @@
         }
     }
 
-    /// What this proxy knows, as JSON.
+    /// Returns the state of this proxy and its view of the fleet as JSON.
     fn status(&self) -> Vec<u8> {
         let (running, waiting) = self.guard.load();
         let directory = self.directory.borrow();
@@ -140,23 +146,23 @@
             "confirmed_ms": self.confirmed_ms(),
             "peers": peers,
         });
-        serde_json::to_vec(&status).expect("what a proxy knows can be coded")
+        serde_json::to_vec(&status).expect("the status can be serialized")
     }
 
-    /// Finds the endpoint after a restart beside a living one, before its next announcement.
-    async fn find_endpoint(self: Rc<Self>) {
-        sleep(FIND_AFTER).await;
-        for _ in 0..FIND_TRIES {
+    /// Queries the endpoint after a restart of this proxy, so that it is known before its next heartbeat.
+    async fn discover_endpoint(self: Rc<Self>) {
+        sleep(DISCOVERY_DELAY).await;
+        for _ in 0..DISCOVERY_ATTEMPTS {
             if !self.guard.has_no_endpoint() {
                 return;
             }
-            self.ask_health().await;
-            sleep(FIND_PAUSE).await;
+            self.check_endpoint_health().await;
+            sleep(DISCOVERY_PAUSE).await;
         }
     }
 
-    /// Asks the endpoint's address which incarnation it is.
-    async fn ask_health(self: &Rc<Self>) {
+    /// Sends a health check to the endpoint's address to learn which incarnation listens there.
+    async fn check_endpoint_health(self: &Rc<Self>) {
         let settings = Rc::clone(&self.settings.borrow());
         let config = self.config.borrow().clone();
         let path = config.as_ref().and_then(|it| it.health_path(&settings.service));
@@ -174,7 +180,7 @@
     }
 }
 
-/// A row with what the link to its owner tells.
+/// Returns a proxy's directory entry as JSON, with the state of the link to that proxy.
 fn row_status(row: &Row, link: Option<&Link>) -> serde_json::Value {
     let mut status = serde_json::json!({
         "name": row.daemon,
@@ -192,24 +198,24 @@
     status
 }
 
-/// Answers a call of the VM's endpoint.
-async fn announce(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
+/// Handles announcements of the VM's endpoint; other `GET` requests are handled as by the metrics listener.
+async fn handle_announcement(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
     let Some(call) = platform::announce_call(&head.method, head.uri.path()) else {
         return match head.method {
-            Method::GET => proxy.observe(&Request::from_parts(head, body)),
+            Method::GET => proxy.metrics_or_status(&Request::from_parts(head, body)),
             _ => response(StatusCode::NOT_FOUND, Bytes::new()),
         };
     };
-    let body = match client::collect_body(body, ANNOUNCEMENT_LIMIT).await {
+    let body = match client::collect_body(body, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(it) => it,
-        Err(error) => return skip(&proxy, "", &error.to_string()),
+        Err(error) => return refuse_announcement(&proxy, "", &error.to_string()),
     };
     let now = clock::unix_millis();
     match call {
         AnnounceCall::Heartbeat(id) => match platform::announced(&id, &body, now) {
-            Ok(it) => proxy.take_heartbeat(it),
-            Err(error) => skip(&proxy, &id, &error.to_string()),
+            Ok(it) => proxy.handle_heartbeat(it),
+            Err(error) => refuse_announcement(&proxy, &id, &error.to_string()),
         },
         AnnounceCall::Deregister(id) => {
             proxy.guard.handle_deregistration(platform::deregistered(&id, &body, now));
@@ -219,23 +225,23 @@
 }
 
 impl Proxy {
-    /// Takes in a heartbeat, if it tells of the endpoint beside this proxy.
-    fn take_heartbeat(self: &Rc<Self>, it: Announcement) -> FullResponse {
+    /// Processes a heartbeat; refuses it if it is not from the endpoint that the settings name.
+    fn handle_heartbeat(self: &Rc<Self>, it: Announcement) -> FullResponse {
         let settings = Rc::clone(&self.settings.borrow());
         if it.service != settings.service || it.address != settings.endpoint {
             let why = format!("this VM's endpoint is {} of {}", settings.endpoint, settings.service);
-            return skip(self, &it.id.name, &why);
+            return refuse_announcement(self, &it.id.name, &why);
         }
         if self.guard.handle_announcement(it) == AnnouncementEffect::Conflicting {
             let proxy = Rc::clone(self);
-            spawn_local(async move { proxy.ask_health().await });
+            spawn_local(async move { proxy.check_endpoint_health().await });
         }
         json_response(StatusCode::OK, "{}")
     }
 }
 
-/// Refuses an announcement that can't be used.
-fn skip(proxy: &Proxy, id: &str, why: &str) -> FullResponse {
+/// Responds to an invalid announcement with status 400 and reports it.
+fn refuse_announcement(proxy: &Proxy, id: &str, why: &str) -> FullResponse {
     proxy.report_skipped_entry("announcement", id, why);
     response(StatusCode::BAD_REQUEST, format!("{why}\n"))
 }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, announcements, readiness and metrics over HTTP/1.1, peers over HTTP/2.
+//! HTTP servers: HTTP/1.1 for callers, announcements, readiness and metrics; HTTP/2 for other proxies.
 
 use std::{convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,28 +19,28 @@
 
 use crate::proxy::{header_timeout::HeaderTimeoutStream, net, net::LocalExecutor, routes::RequestLimits};
 
-/// An answer with its whole body.
+/// A response whose body is held in memory.
 pub(super) type FullResponse = Response<Full<Bytes>>;
 
-/// The pause after `accept` failed, for instance for want of file descriptors.
+/// Pause after `accept` failed, for example because the process has no file descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The least buffer of a head that `hyper` takes.
-const LEAST_HEAD: usize = 8 * 1024;
-/// How much longer than the operator's idle time a connection is kept, so that a request which is
-/// under way when the time ends still meets an open connection.
+/// Smallest header buffer that `hyper` accepts, in bytes.
+const MIN_HEADER_BUFFER: usize = 8 * 1024;
+/// How much longer than the configured idle time a connection stays open, so that a request which the caller sends
+/// just before that time ends still finds it open.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
-/// A peer that is silent for this long is probed.
-const PEER_PROBE: Duration = Duration::from_secs(5);
-/// How long a peer's answer to a probe is waited for.
-const PEER_PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of HTTP/2 keep-alive pings to a peer.
+const PEER_PING_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which an unanswered ping closes the connection.
+const PEER_PING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepts connections for ever and hands each to `serve`.
+/// Accepts connections forever and passes each to `serve`.
 async fn accept(listener: TcpListener, serve: impl Fn(TcpStream, SocketAddr)) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => match net::set_socket_options(&stream) {
                 Ok(()) => serve(stream, from),
-                Err(error) => log::debug!("a connection from {from} was gone at once: {error}"),
+                Err(error) => log::debug!("setting socket options for {from}: {error}"),
             },
             Err(error) => {
                 log::warn!("accepting a connection: {error}");
@@ -51,8 +51,8 @@
     }
 }
 
-/// Serves HTTP/1.1 for ever. A caller that leaves ends its handler.
-pub(super) async fn http1<F, A>(listener: TcpListener, limits: impl Fn() -> RequestLimits + 'static, handle: F)
+/// Serves HTTP/1.1 forever. When a caller closes its connection, the handler of its request is dropped.
+pub(super) async fn serve_http1<F, A>(listener: TcpListener, limits: impl Fn() -> RequestLimits + 'static, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = FullResponse> + 'static,
@@ -61,24 +61,24 @@
     accept(listener, move |stream, from| {
         let handle = Rc::clone(&handle);
         let limits = limits();
-        let (stream, heads) = HeaderTimeoutStream::new(stream, limits.head_time);
+        let (stream, request_phase) = HeaderTimeoutStream::new(stream, limits.head_time);
         let service = service_fn(move |req| {
-            let serving = heads.serving();
-            let answer = handle(req);
+            let serving = request_phase.serving();
+            let resp = handle(req);
             async move {
-                let answer = answer.await;
+                let resp = resp.await;
                 drop(serving);
-                Ok::<_, Infallible>(answer)
+                Ok::<_, Infallible>(resp)
             }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.idle_time + IDLE_SLACK)
-            .max_buf_size(limits.head_bytes.max(LEAST_HEAD))
+            .max_buf_size(limits.head_bytes.max(MIN_HEADER_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
         spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("a connection from {from} ended: {error}");
+                log::debug!("connection from {from} closed: {error}");
                 metrics::counter!("jayreach_connections_broken_total").increment(1);
             }
         });
@@ -86,8 +86,8 @@
     .await;
 }
 
-/// Serves HTTP/2 for ever, for other proxies.
-pub(super) async fn http2<F, A>(listener: TcpListener, handle: F)
+/// Serves HTTP/2 to other proxies forever.
+pub(super) async fn serve_http2<F, A>(listener: TcpListener, handle: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = FullResponse> + 'static,
@@ -96,33 +96,33 @@
     accept(listener, move |stream, from| {
         let handle = Rc::clone(&handle);
         let service = service_fn(move |req| {
-            let answer = handle(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let resp = handle(req);
+            async move { Ok::<_, Infallible>(resp.await) }
         });
         let connection = http2::Builder::new(LocalExecutor)
             .timer(TokioTimer::new())
-            .keep_alive_interval(PEER_PROBE)
-            .keep_alive_timeout(PEER_PROBE_TIMEOUT)
-            // Thirty bytes that nobody reads.
+            .keep_alive_interval(PEER_PING_INTERVAL)
+            .keep_alive_timeout(PEER_PING_TIMEOUT)
+            // Peers don't use the date header.
             .auto_date_header(false)
             .serve_connection(TokioIo::new(stream), service);
         spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("a peer's connection from {from} ended: {error}");
+                log::debug!("peer connection from {from} closed: {error}");
             }
         });
     })
     .await;
 }
 
-/// An answer of our own.
+/// Creates a response that this proxy itself gives.
 pub(super) fn response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
     let mut resp = Response::new(Full::new(body.into()));
     *resp.status_mut() = status;
     resp
 }
 
-/// An answer of our own with JSON.
+/// Creates a JSON response that this proxy itself gives.
 pub(super) fn json_response(status: StatusCode, body: impl Into<Bytes>) -> FullResponse {
     let mut resp = response(status, body);
     resp.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
