--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -1,4 +1,4 @@
-//! Connections to the VM's endpoint, and what its answers prove.
+//! Connection pool for the VM's endpoint, and classification of its responses: executed, not executed or unknown.
 
 use std::{
     cell::RefCell,
@@ -24,36 +24,36 @@
     },
 };
 
-/// How long a connection may have been idle to carry more work, unless the endpoint says less. An
-/// endpoint may drop an idle connection without notice, and what is sent then is lost.
-const IDLE_LIMIT: Duration = Duration::from_secs(2);
-/// The part of the idle time the endpoint tells that is used.
-const IDLE_PART: u32 = 3;
-/// How many idle connections are kept.
-const IDLE_KEPT: usize = 16;
-/// How much later than the endpoint's own deadline its answer is waited for.
-const ANSWER_SLACK: Duration = Duration::from_millis(80);
-
-/// How long it may take to find out whether an endpoint is there: it is on this VM.
-const LOOK_LIMIT: Duration = Duration::from_millis(150);
-/// For how long what was found holds.
-const LOOK_HOLDS: Duration = Duration::from_millis(100);
-
-struct Idle {
+/// Maximum idle time after which a connection is still reused. An endpoint may drop an idle connection without notice,
+/// and a request that is sent on it then is lost.
+const MAX_IDLE: Duration = Duration::from_secs(2);
+/// Divisor for the idle time that the endpoint announces in its `keep-alive` header.
+const KEEP_ALIVE_DIVISOR: u32 = 3;
+/// Maximum number of idle connections in the pool.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Time allowed for a response after the deadline that was given to the endpoint.
+const RESPONSE_GRACE: Duration = Duration::from_millis(80);
+
+/// Timeout of a connection attempt that probes whether the endpoint is listening; it is on this VM.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long the result of a probe is valid.
+const PROBE_VALIDITY: Duration = Duration::from_millis(100);
+
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    limit: Duration,
+    idle_since: Instant,
+    max_idle: Duration,
 }
 
-/// The connections to one endpoint.
+/// Connections to one endpoint.
 pub(super) struct EndpointPool {
     address: SocketAddr,
-    idle: RefCell<Vec<Idle>>,
-    /// The last look whether the endpoint is there, and when; all work that broke off together needs but one.
-    looked: Mutex<Option<(Instant, bool)>>,
+    idle: RefCell<Vec<IdleConnection>>,
+    /// Time and result of the last probe, `true` if nothing listened; shared by requests that fail together.
+    last_probe: Mutex<Option<(Instant, bool)>>,
 }
 
-/// One request for the endpoint.
+/// A request to be sent to the endpoint.
 pub(super) struct EndpointRequest {
     pub(super) request_id: Box<str>,
     pub(super) instance_id: Box<str>,
@@ -64,13 +64,13 @@
 
 impl EndpointPool {
     pub(super) fn new(address: SocketAddr) -> Self {
-        Self { address, idle: RefCell::default(), looked: Mutex::default() }
+        Self { address, idle: RefCell::default(), last_probe: Mutex::default() }
     }
 
-    /// Sends a request and judges the answer. Dropping the future cuts the connection, which tells
-    /// the endpoint to stop.
+    /// Sends a request and classifies the response. Dropping the future closes the connection, by which the endpoint
+    /// notices that the request is cancelled.
     pub(super) async fn run(&self, req: EndpointRequest) -> RunEnd {
-        let limit = req.time_left + ANSWER_SLACK;
+        let limit = req.time_left + RESPONSE_GRACE;
         match timeout(limit, self.exchange(req)).await {
             Ok(RunEnd::Unknown(UnknownReason::Broken)) if self.has_ended().await => {
                 RunEnd::Unknown(UnknownReason::Ended)
@@ -80,24 +80,28 @@
         }
     }
 
-    /// Whether nobody listens at the address, now that work there broke off: a connection that is reset, or cut, says
-    /// nothing of the endpoint's life.
+    /// Whether nothing listens at the address any more. A connection that was reset or closed doesn't show by itself
+    /// that the endpoint has ended.
     async fn has_ended(&self) -> bool {
-        let mut looked = self.looked.lock().await;
-        if let Some((at, ended)) = *looked
-            && at.elapsed() < LOOK_HOLDS
+        let mut last_probe = self.last_probe.lock().await;
+        if let Some((at, ended)) = *last_probe
+            && at.elapsed() < PROBE_VALIDITY
         {
             return ended;
         }
-        let ended = match timeout(LOOK_LIMIT, Connection::open(self.address)).await {
+        let ended = match timeout(PROBE_TIMEOUT, Connection::open(self.address)).await {
             Ok(Err(CallError::NotConnected(error))) => error.kind() == io::ErrorKind::ConnectionRefused,
             Ok(Ok(connection)) => {
-                self.idle.borrow_mut().push(Idle { connection, since: Instant::now(), limit: IDLE_LIMIT });
+                self.idle.borrow_mut().push(IdleConnection {
+                    connection,
+                    idle_since: Instant::now(),
+                    max_idle: MAX_IDLE,
+                });
                 false
             }
             Ok(Err(_)) | Err(_) => false,
         };
-        *looked = Some((Instant::now(), ended));
+        *last_probe = Some((Instant::now(), ended));
         ended
     }
 
@@ -105,9 +109,9 @@
         let start = Instant::now();
         let mut hyper_req = self.hyper_request(&req);
         loop {
-            let kept = self.take_idle();
-            let reused = kept.is_some();
-            let mut connection = match kept {
+            let idle = self.take_idle();
+            let reused = idle.is_some();
+            let mut connection = match idle {
                 Some(it) => it,
                 None => match Connection::open(self.address).await {
                     Ok(it) => it,
@@ -125,9 +129,9 @@
             }
             metrics::counter!("jayreach_endpoint_arrivals_total").increment(1);
             match connection.sender.try_send_request(hyper_req).await {
-                Ok(resp) => return self.judge(&req, connection, resp, start).await,
+                Ok(resp) => return self.classify_response(&req, connection, resp, start).await,
                 Err(mut error) => match error.take_message() {
-                    // It never left this process.
+                    // Nothing was sent yet, so the request can be sent on another connection.
                     Some(unsent) if reused => hyper_req = unsent,
                     Some(_) => return RunEnd::NotRun(NotRunReason::NoConnection),
                     None => {
@@ -147,14 +151,14 @@
         platform::set_instance(out.headers_mut(), &req.instance_id);
         platform::set_deadline(out.headers_mut(), req.time_left);
         if !out.headers().contains_key(HOST) {
-            let host = self.address.to_string().parse().expect("an address is a header value");
+            let host = self.address.to_string().parse().expect("a socket address is a valid header value");
             out.headers_mut().insert(HOST, host);
         }
         out
     }
 
-    /// Takes the whole answer in and finds out what it proves.
-    async fn judge(
+    /// Reads the whole response and determines whether the endpoint executed the request.
+    async fn classify_response(
         &self,
         req: &EndpointRequest,
         connection: Connection,
@@ -169,52 +173,52 @@
                 return RunEnd::Unknown(UnknownReason::Broken);
             }
         };
-        // Another request's late answer proves nothing of this one.
+        // A late response to another request says nothing about this one.
         if platform::request_id(&head.headers).is_some_and(|it| *it != *req.request_id) {
             return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
         if head.status.as_u16() == 421 {
-            self.keep(connection, &head.headers);
+            self.put_idle(connection, &head.headers);
             return RunEnd::NotRun(NotRunReason::OtherInstance);
         }
         if platform::not_executed(&head.headers) {
-            self.keep(connection, &head.headers);
+            self.put_idle(connection, &head.headers);
             return RunEnd::NotRun(NotRunReason::Declined);
         }
-        // Callers ask for plain bodies: a coded one isn't the endpoint's.
+        // Requests don't accept content codings, so a coded body doesn't come from the endpoint.
         if !platform::is_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
             return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
-        self.keep(connection, &head.headers);
+        self.put_idle(connection, &head.headers);
         let content = HttpContent::new(&headers::end_to_end(&head.headers), &body);
         RunEnd::Answered { status: head.status.as_u16(), content, took: start.elapsed() }
     }
 
     fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|it| !it.connection.sender.is_closed() && it.since.elapsed() < it.limit);
-        // The one used last is the likeliest to be open.
+        idle.retain(|it| !it.connection.sender.is_closed() && it.idle_since.elapsed() < it.max_idle);
+        // The most recently used connection is the most likely to be open.
         idle.pop().map(|it| it.connection)
     }
 
-    fn keep(&self, connection: Connection, headers: &HeaderMap) {
+    fn put_idle(&self, connection: Connection, headers: &HeaderMap) {
         let closes = headers.get(CONNECTION).is_some_and(|it| it.as_bytes().eq_ignore_ascii_case(b"close"));
         let mut idle = self.idle.borrow_mut();
-        if closes || idle.len() >= IDLE_KEPT {
+        if closes || idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
-        let told = keep_alive(headers).map_or(IDLE_LIMIT, |it| it / IDLE_PART);
-        idle.push(Idle { connection, since: Instant::now(), limit: told.min(IDLE_LIMIT) });
+        let announced = keep_alive_timeout(headers).map_or(MAX_IDLE, |it| it / KEEP_ALIVE_DIVISOR);
+        idle.push(IdleConnection { connection, idle_since: Instant::now(), max_idle: announced.min(MAX_IDLE) });
     }
 
-    /// Closes what is idle.
+    /// Closes the idle connections.
     pub(super) fn close(self) {
         self.idle.into_inner().clear();
     }
 }
 
-/// The idle time the other side tells.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the timeout of a `keep-alive` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = text.split(',').find_map(|it| it.trim().strip_prefix("timeout="))?;
