--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! Event lines: never blocking, bounded, and enough to find a cause.
+//! The event log doesn't block, is bounded, and holds what `explain` needs to find a cause.
 
 use std::{
     io::{self, Write},
@@ -19,16 +19,16 @@
 };
 use rstest::rstest;
 
-/// Collects what is written; the first write waits until it is told to go on.
-struct Slow {
-    go: Option<Receiver<()>>,
+/// Writer that collects its input; the first write blocks until `unblock` receives a message.
+struct BlockableWriter {
+    unblock: Option<Receiver<()>>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Slow {
+impl Write for BlockableWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        if let Some(go) = self.go.take() {
-            go.recv().map_err(io::Error::other)?;
+        if let Some(unblock) = self.unblock.take() {
+            unblock.recv().map_err(io::Error::other)?;
         }
         self.written.lock().expect("no writer panics").extend_from_slice(buf);
         Ok(buf.len())
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn a_blocked_output_delays_no_one_and_what_is_lost_is_counted() {
-    let (go, rx) = channel();
+fn blocked_output_does_not_block_emit_and_lost_lines_are_counted() {
+    let (unblock, rx) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let out = Slow { go: Some(rx), written: Arc::clone(&written) };
+    let out = BlockableWriter { unblock: Some(rx), written: Arc::clone(&written) };
     let events = EventLog::start("vm-1".into(), out).expect("a writer");
     let start = Instant::now();
 
@@ -81,11 +81,11 @@
         events.emit(&answered(&format!("r-{at}"), 500));
     }
     let took = start.elapsed();
-    go.send(()).expect("the writer waits");
+    unblock.send(()).expect("the writer is waiting");
     assert!(eventually(|| lines(&written).len() >= 4_000));
     events.emit(&answered("r-last", 500));
 
-    assert!(took < Duration::from_secs(5), "{took:?} for 20,000 lines that nobody took");
+    assert!(took < Duration::from_secs(5), "{took:?} to emit 20,000 lines to a blocked writer");
     assert!(eventually(|| lines(&written).iter().any(|it| it.fields.get("request").is_some_and(|it| it == "r-last"))));
     let kept = lines(&written).iter().filter(|it| &*it.event == "answered").count() as u64;
     let dropped: u64 = lines(&written).iter().filter_map(|it| it.fields.get("full")?.as_u64()).sum();
@@ -93,9 +93,10 @@
 }
 
 #[test]
-fn ordinary_successes_are_sampled_and_failures_are_not() {
+fn routine_successes_are_sampled_and_failures_are_not() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let events = EventLog::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
+    let events = EventLog::start("vm-1".into(), BlockableWriter { unblock: None, written: Arc::clone(&written) })
+        .expect("a writer");
 
     for at in 0..1_000 {
         events.emit(&answered(&format!("good-{at}"), 200));
@@ -112,10 +113,11 @@
     assert!(count("good-") < 200, "{} of 1000", count("good-"));
 }
 
-/// The lines of a few events as a proxy writes them.
-fn written(events: &[Event<'_>]) -> Vec<Line> {
+/// Writes events through an [`EventLog`] and parses the resulting lines.
+fn written_lines(events: &[Event<'_>]) -> Vec<Line> {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let out = EventLog::start("vm-1".into(), Slow { go: None, written: Arc::clone(&written) }).expect("a writer");
+    let out = EventLog::start("vm-1".into(), BlockableWriter { unblock: None, written: Arc::clone(&written) })
+        .expect("a writer");
     for it in events {
         out.emit(it);
     }
@@ -127,15 +129,15 @@
 #[case(Event::Rejected { request: "r", status: 404, why: "no route" }, "404: no route")]
 #[case(Event::Cancelled { request: "r", route: "read", after_ms: 70, attempts: 1 }, "caller left after 70 ms")]
 #[case(answered("r", 200), "It was served")]
-fn a_request_s_end_is_told_in_a_sentence(#[case] event: Event<'_>, #[case] wanted: &str) {
-    let history = explain(&written(&[event]), &Subject::Request("r".into()));
+fn explain_states_how_a_request_ended(#[case] event: Event<'_>, #[case] wanted: &str) {
+    let history = explain(&written_lines(&[event]), &Subject::Request("r".into()));
 
     assert_eq!(history.lines.len(), 1);
     assert!(history.cause.contains(wanted), "{}", history.cause);
 }
 
 #[test]
-fn a_call_that_failed_is_named_as_its_parent_s_cause() {
+fn explain_names_a_failed_nested_call_as_the_cause() {
     let failed = Event::Failed {
         request: "r",
         fingerprint: Fingerprint::default(),
@@ -144,7 +146,7 @@
         why: AttemptFailure::Status(500),
         took_ms: 40,
     };
-    let all = written(&[answered("r.c1", 503), failed, answered("r", 500)]);
+    let all = written_lines(&[answered("r.c1", 503), failed, answered("r", 500)]);
 
     let history = explain(&all, &Subject::Request("r".into()));
 
@@ -157,26 +159,27 @@
     Event::EndedUnder { endpoint, request, fingerprint, ran_ms, running, evidence }
 }
 
-fn held_back(request: &'static str) -> Event<'static> {
+fn quarantined_request(request: &'static str) -> Event<'static> {
     let Event::Answered(it) = answered(request, 503) else { unreachable!("it is one") };
     Event::Answered(AnsweredRequest { outcome: "quarantined", quarantined: Some(Fingerprint::default()), ..it })
 }
 
 #[test]
-fn a_request_that_is_held_back_is_explained_by_the_ends_under_the_same() {
+fn explain_of_a_quarantined_request_lists_the_endpoints_that_ended() {
     let held = Event::Quarantine { fingerprint: Fingerprint::default(), held: true, evidence: 3, source: "ended" };
-    let all = written(&[ended_under("r1", "i-1", 1), ended_under("r2", "i-2", 3), held, held_back("r3")]);
+    let all =
+        written_lines(&[ended_under("r1", "i-1", 1), ended_under("r2", "i-2", 3), held, quarantined_request("r3")]);
 
     let history = explain(&all, &Subject::Request("r3".into()));
 
-    assert_eq!(history.lines.len(), 4, "those of other requests are part of its story");
+    assert_eq!(history.lines.len(), 4, "lines of other requests with the fingerprint are included");
     assert!(history.cause.contains("2 endpoint(s) ended"), "{}", history.cause);
     assert!(history.cause.contains("i-1 (r1), i-2 (r2)"), "{}", history.cause);
     assert!(history.cause.contains("has not run"), "{}", history.cause);
 }
 
 #[test]
-fn an_end_under_a_request_is_told_as_its_cause() {
+fn explain_names_the_end_of_the_endpoint_as_the_cause() {
     let failed = Event::Failed {
         request: "r1",
         fingerprint: Fingerprint::default(),
@@ -187,7 +190,7 @@
     };
     let Event::Answered(it) = answered("r1", 502) else { unreachable!("it is one") };
     let unknown = Event::Answered(AnsweredRequest { outcome: "unknown", ..it });
-    let all = written(&[ended_under("r1", "i-1", 1), failed, unknown]);
+    let all = written_lines(&[ended_under("r1", "i-1", 1), failed, unknown]);
 
     let history = explain(&all, &Subject::Request("r1".into()));
 
@@ -195,10 +198,15 @@
 }
 
 #[test]
-fn all_that_is_known_of_a_fingerprint_is_told() {
+fn explain_of_a_fingerprint_counts_ends_and_refused_requests() {
     let held = |held, source| Event::Quarantine { fingerprint: Fingerprint::default(), held, evidence: 3, source };
     let fingerprint = Fingerprint::default().to_string();
-    let all = written(&[ended_under("r1", "i-1", 1), held(true, "ended"), held_back("r3"), held(false, "answered")]);
+    let all = written_lines(&[
+        ended_under("r1", "i-1", 1),
+        held(true, "ended"),
+        quarantined_request("r3"),
+        held(false, "answered"),
+    ]);
 
     let history = explain(&all, &Subject::Fingerprint(fingerprint.into()));
 
@@ -209,16 +217,16 @@
 }
 
 #[test]
-fn what_no_line_tells_is_said_so() {
-    let history = explain(&written(&[answered("other", 500)]), &Subject::Request("r".into()));
+fn explain_says_when_no_line_names_the_request() {
+    let history = explain(&written_lines(&[answered("other", 500)]), &Subject::Request("r".into()));
 
     assert!(history.lines.is_empty());
     assert!(history.cause.contains("No line names it"), "{}", history.cause);
 }
 
 #[test]
-fn a_version_s_way_through_the_fleet_is_told() {
-    let all = written(&[
+fn explain_of_a_configuration_counts_proxies_and_sources() {
+    let all = written_lines(&[
         Event::Config { version: 12, before: 0, source: "store", routes: 3, confirmed_ms: Some(40) },
         Event::Config { version: 14, before: 12, source: "peer", routes: 3, confirmed_ms: Some(40) },
         Event::Started { version: "0" },
