--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -1,7 +1,7 @@
-//! What proxies and the store tell each other of requests that end their endpoints.
+//! Distribution of quarantine cases. A case is the crash record of a request: the evidence that it crashes endpoints.
 //!
-//! Between proxies it spreads as versions do. The store has what is held back, so that it outlasts the end of all proxies at
-//! once; and it decides which proxy begins a trial, where several want to.
+//! Proxies gossip the cases to each other. The store keeps the quarantined requests, so that they survive a restart of
+//! all proxies, and it lets only one proxy begin a trial of a request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -27,44 +27,43 @@
     },
 };
 
-/// How many peers are told of a request by each proxy that learns of it: all but a few in a thousand hear of it so, before
-/// its next attempt as a rule.
-const RELAYS: usize = 6;
-/// What the store tells at this price may be some seconds old: a request may have been held back just before all proxies ended.
-const CAUGHT_UP: Duration = Duration::from_secs(4);
-/// How long a request may be kept waiting for the store to say whether its trial begins: the store answers in milliseconds,
-/// and a refusal should come at once.
-const TRIAL_WAIT: Duration = Duration::from_millis(300);
+/// Number of random peers that each proxy forwards a new case to. It reaches all but a few proxies in a thousand; those
+/// get it with the next anti-entropy exchange.
+const GOSSIP_FANOUT: usize = 6;
+/// Maximum age of the data that a stale read of the store returns.
+const MAX_STALENESS: Duration = Duration::from_secs(4);
+/// Timeout for the store's decision whether a trial begins; the request waits for it.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Proxy {
-    /// Tells some peers of what is known anew against requests; they tell others.
+    /// Sends new cases to some peers, which forward them, and writes cases that were found here to the store.
     pub(super) async fn gossip_cases(self: Rc<Self>) {
         loop {
             self.guard.cases_changed.notified().await;
             sleep(COALESCE_DELAY).await;
             for fingerprint in self.guard.take_cases_to_store() {
-                spawn_local(Rc::clone(&self).write_down(fingerprint));
+                spawn_local(Rc::clone(&self).store_case(fingerprint));
             }
-            let news = QuarantineExchange { cases: self.guard.take_changed_cases(), wants_reply: false };
+            let update = QuarantineExchange { cases: self.guard.take_changed_cases(), wants_reply: false };
             let links: Vec<Rc<Link>> = self.links.borrow().iter().map(|it| Rc::clone(&it.1)).collect();
             let connected: Vec<&Rc<Link>> = links.iter().filter(|it| it.is_connected()).collect();
-            for link in connected.sample(&mut rand::rng(), RELAYS) {
-                let (link, news) = (Rc::clone(link), news.clone());
+            for link in connected.sample(&mut rand::rng(), GOSSIP_FANOUT) {
+                let (link, update) = (Rc::clone(link), update.clone());
                 spawn_local(async move {
-                    // What is lost here comes with an exchange.
-                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &news).await;
+                    // A lost message is made up for by the next anti-entropy exchange.
+                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &update).await;
                 });
             }
         }
     }
 
-    /// Takes in what a peer knows against requests, and answers with what is known here if that is wanted.
+    /// Merges a peer's cases, and returns all local cases if the peer asks for them.
     pub(super) fn exchange_cases(&self, theirs: &QuarantineExchange) -> Vec<CrashRecordUpdate> {
         self.guard.merge_cases(&theirs.cases, CaseSource::Peer);
         if theirs.wants_reply { self.guard.cases() } else { Vec::new() }
     }
 
-    /// Exchanges cases with a peer whose digest differs.
+    /// Exchanges all cases with a peer whose digest differs.
     pub(super) async fn sync_cases(&self, their_digest: u64, link: &Rc<Link>) {
         if their_digest == self.guard.cases_digest() {
             return;
@@ -75,11 +74,12 @@
         }
     }
 
-    /// Takes in what the store has of an earlier time: at once, and again when that has caught up, at a tenth of the price each.
+    /// Loads the quarantine from the store with two stale reads, which cost a tenth of a consistent one. The second
+    /// read returns what was written just before the start.
     pub(super) async fn load_quarantine(self: Rc<Self>) {
         let mut backoff = Backoff::new(&self);
-        for pause in [Duration::ZERO, CAUGHT_UP] {
-            sleep(pause).await;
+        for delay in [Duration::ZERO, MAX_STALENESS] {
+            sleep(delay).await;
             while let Err(error) = self.read_quarantine().await {
                 backoff.pause_after_failure(&error).await;
             }
@@ -87,45 +87,45 @@
         }
     }
 
-    /// Takes in what the store has, which may be some seconds old.
+    /// Merges the quarantined requests of a stale read of the store.
     async fn read_quarantine(&self) -> Result<(), StoreFailure> {
         let list = self.store.quarantined(Consistency::Stale).await?;
         for it in &list.skipped {
             self.report_skipped_entry("store", &it.name, &it.why);
         }
-        let told = list.objects.iter().map(|it| CrashRecordUpdate {
+        let updates = list.objects.iter().map(|it| CrashRecordUpdate {
             fingerprint: it.fingerprint,
             record: it.case,
             age: Duration::ZERO,
         });
-        self.guard.merge_cases(&told.collect::<Vec<_>>(), CaseSource::Store);
+        self.guard.merge_cases(&updates.collect::<Vec<_>>(), CaseSource::Store);
         Ok(())
     }
 
-    /// Writes down all that is held back, where this proxy watches the store for the rest.
+    /// Writes all quarantined requests to the store, if this proxy watches the store for the fleet.
     pub(super) fn store_held_cases(self: &Rc<Self>) {
         if !self.watching.get() {
             return;
         }
         for it in self.guard.cases().into_iter().filter(|it| it.record.is_quarantined()) {
-            spawn_local(Rc::clone(self).write_down(it.fingerprint));
+            spawn_local(Rc::clone(self).store_case(it.fingerprint));
         }
     }
 
-    /// Writes down that a request is held back, or takes that back.
-    async fn write_down(self: Rc<Self>, fingerprint: Fingerprint) {
+    /// Writes a quarantined request to the store, or removes it if it was cleared.
+    async fn store_case(self: Rc<Self>, fingerprint: Fingerprint) {
         let mut backoff = Backoff::new(&self);
         loop {
-            let case = self.guard.case(fingerprint);
-            let done = if case.is_quarantined() {
-                let object = QuarantineObject { fingerprint, case, by: self.name.clone() };
+            let record = self.guard.case(fingerprint);
+            let result = if record.is_quarantined() {
+                let object = QuarantineObject { fingerprint, case: record, by: self.name.clone() };
                 self.store.add_quarantined(&object).await
-            } else if case.is_cleared() {
+            } else if record.is_cleared() {
                 self.store.remove_quarantined(fingerprint).await
             } else {
                 return;
             };
-            match done {
+            match result {
                 Ok(()) => break,
                 Err(error) => backoff.pause_after_failure(&error).await,
             }
@@ -133,36 +133,36 @@
         backoff.record_answer();
     }
 
-    /// Begins the trial of a request that is held back, if one is due and no other proxy begins it.
+    /// Begins the quarantine trial of a request if one is due. Returns false if none is due, if another proxy begins
+    /// it, or if the store doesn't respond in time.
     pub(super) async fn begin_trial(&self, fingerprint: Fingerprint) -> bool {
         if self.guard.time_to_next_trial(fingerprint) != Some(Duration::ZERO) {
             return false;
         }
-        // Other requests of this kind that come meanwhile are refused.
+        // Requests with the same fingerprint that arrive in the meantime are refused.
         self.guard.postpone_trial(fingerprint);
         let object = QuarantineObject { fingerprint, case: self.guard.case(fingerprint), by: self.name.clone() };
-        match timeout(TRIAL_WAIT, self.store.begin_trial(&object)).await {
-            Ok(Ok(Trial::Begun(case))) => {
-                self.take_trial(fingerprint, case);
+        match timeout(TRIAL_TIMEOUT, self.store.begin_trial(&object)).await {
+            Ok(Ok(Trial::Begun(record))) => {
+                self.merge_trial_record(fingerprint, record);
                 true
             }
-            Ok(Ok(Trial::Another(case))) => {
-                self.take_trial(fingerprint, case);
+            Ok(Ok(Trial::Another(record))) => {
+                self.merge_trial_record(fingerprint, record);
                 false
             }
             Ok(Err(error)) => {
-                log::debug!("no trial of {fingerprint}: {error}");
+                log::debug!("trial of {fingerprint} not begun: {error}");
                 false
             }
             Err(_) => {
-                log::debug!("no trial of {fingerprint}: no answer from the store in {TRIAL_WAIT:?}");
+                log::debug!("trial of {fingerprint} not begun: no response from the store within {TRIAL_TIMEOUT:?}");
                 false
             }
         }
     }
 
-    fn take_trial(&self, fingerprint: Fingerprint, case: CrashRecord) {
-        self.guard
-            .merge_cases(&[CrashRecordUpdate { fingerprint, record: case, age: Duration::ZERO }], CaseSource::Trial);
+    fn merge_trial_record(&self, fingerprint: Fingerprint, record: CrashRecord) {
+        self.guard.merge_cases(&[CrashRecordUpdate { fingerprint, record, age: Duration::ZERO }], CaseSource::Trial);
     }
 }
