--- a/src/proxy/routes.rs
+++ b/src/proxy/routes.rs
@@ -1,86 +1,86 @@
-//! The configuration as the proxies use it: routes, services and what callers may send.
+//! The configuration as proxies use it and send it to each other: routes, their services and request limits.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the configuration; a higher one replaces a lower one.
+/// Version of the configuration; a higher version replaces a lower one.
 pub type Version = u64;
-/// A route's name, unique in a configuration.
+/// Name of a route, unique in a configuration.
 pub type RouteName = Box<str>;
-/// A service's name.
+/// Name of a service.
 pub type ServiceName = Box<str>;
 
-/// A path with its query, which begins with a slash and is valid in a request.
+/// Path and query of a health check; begins with a slash and is a valid request target.
 pub type HealthPath = Box<str>;
 
-/// Whether work may run more than once.
+/// Whether requests of a route may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// It may run again.
+    /// A request may be executed again after an attempt whose outcome is unknown.
     Idempotent,
-    /// It runs at most once for each attempt of a caller.
+    /// A request is executed at most once per request of a caller.
     #[serde(rename = "never")]
     NonIdempotent,
 }
 
-/// A service that gets a share of a route's requests.
+/// A service that receives a weighted share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cluster {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share, relative to the other weights of the route; may be zero.
+    /// Weight relative to the other services of the route; may be zero.
     pub weight: f64,
 }
 
-/// Where a class of requests goes, and what its callers are owed.
+/// Which requests go to which services, with their timeout, retry and priority rules.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The route's name.
+    /// Name, unique in the configuration.
     pub name: RouteName,
-    /// The host it is for, in lower case.
+    /// Host that the route matches, in lower case.
     pub host: Box<str>,
-    /// The path prefix it is for; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Whether its work may run more than once.
+    /// Whether its requests may be executed more than once.
     #[serde(rename = "repeat")]
     pub idempotency: Idempotency,
-    /// How long a caller may be kept waiting.
+    /// Time from a request's arrival until its caller must have a response.
     pub timeout: Duration,
-    /// The response time within which an answer is worth most.
+    /// Response time that the route aims for.
     #[serde(rename = "goal")]
     pub target_latency: Duration,
-    /// How many endpoints one attempt of a caller may be sent to; at least 1.
+    /// Maximum number of endpoints that one request of a caller may be sent to; at least 1.
     pub max_attempts: u32,
-    /// Its rank; 0 goes first.
+    /// Priority; 0 is served first.
     pub rank: u32,
-    /// Its services. Empty only where the operator's terms aren't understood: its callers are refused then.
+    /// Services of the route. Empty only if the route's configuration is invalid; its requests are refused then.
     pub clusters: Vec<Cluster>,
 }
 
 impl Route {
-    /// Whether the operator's terms for it are understood.
+    /// Whether the route's configuration could be parsed; requests of an invalid route are refused.
     pub fn is_valid(&self) -> bool {
         !self.clusters.is_empty()
     }
 }
 
-/// What a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// The longest head, in bytes.
+    /// Maximum size of a header section, in bytes.
     pub head_bytes: usize,
-    /// The longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Time within which a header section must arrive, from its first byte.
     pub head_time: Duration,
-    /// How long a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_time: Duration,
 }
 
 impl Default for RequestLimits {
-    /// What holds before the first configuration.
+    /// Limits that apply before the first configuration is received.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -94,26 +94,26 @@
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// The version.
+    /// Version number.
     pub version: Version,
-    /// The routes, sorted by host and prefix.
+    /// Sorted by host and prefix.
     routes: Vec<Route>,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: RequestLimits,
-    /// Where endpoints of a service answer health questions, if not at the usual path; sorted by service. Proxies of
-    /// earlier releases don't send it.
+    /// Health check paths of the services that don't use the default path; sorted by service. Proxies of earlier
+    /// releases don't send this field.
     #[serde(default)]
     health_paths: Vec<(ServiceName, HealthPath)>,
 }
 
 impl Config {
-    /// A configuration of these routes, in any order.
+    /// Creates a configuration from routes in any order.
     pub fn new(version: Version, mut routes: Vec<Route>, limits: RequestLimits) -> Self {
-        routes.sort_by(|a, b| key(a).cmp(&key(b)));
+        routes.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
         Self { version, routes, limits, health_paths: Vec::new() }
     }
 
-    /// The same with health paths of services, in any order.
+    /// Sets the services' health check paths, in any order.
     #[must_use]
     pub fn with_health_paths(mut self, mut paths: Vec<(ServiceName, HealthPath)>) -> Self {
         paths.sort_unstable();
@@ -121,36 +121,36 @@
         self
     }
 
-    /// Where endpoints of `service` answer health questions, if the operator says so.
+    /// Health check path that is configured for `service`; `None` means the default path.
     pub fn health_path(&self, service: &str) -> Option<&str> {
         let at = self.health_paths.binary_search_by(|it| (*it.0).cmp(service)).ok()?;
         Some(&self.health_paths[at].1)
     }
 
-    /// The routes, sorted by host and prefix.
+    /// Routes, sorted by host and prefix.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The route of `host` with the longest prefix that begins `path` (without its query).
+    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored; `path` has no query.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let host = host_name(host).to_ascii_lowercase();
-        let slashes = path.rmatch_indices('/').map(|(at, _)| &path[..=at]);
-        slashes.into_iter().find_map(|prefix| self.exact(&host, prefix))
+        let host = strip_port(host).to_ascii_lowercase();
+        let prefixes = path.rmatch_indices('/').map(|(at, _)| &path[..=at]);
+        prefixes.into_iter().find_map(|prefix| self.find_exact(&host, prefix))
     }
 
-    fn exact(&self, host: &str, prefix: &str) -> Option<&Route> {
-        let at = self.routes.binary_search_by(|it| key(it).cmp(&(host, prefix))).ok()?;
+    fn find_exact(&self, host: &str, prefix: &str) -> Option<&Route> {
+        let at = self.routes.binary_search_by(|it| sort_key(it).cmp(&(host, prefix))).ok()?;
         Some(&self.routes[at])
     }
 }
 
-fn key(route: &Route) -> (&str, &str) {
+fn sort_key(route: &Route) -> (&str, &str) {
     (&route.host, &route.prefix)
 }
 
-/// The host without a port.
-fn host_name(host: &str) -> &str {
+/// Returns `host` without its port.
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|it| it.is_ascii_digit()) => name,
         _ => host,
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one proxy, read from its TOML file.
+//! The settings of one proxy, read from a TOML file.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -8,54 +8,62 @@
     proxy::directory::ProxyName,
 };
 
-/// What a proxy is told by the platform it runs on.
+/// Settings that the platform writes for a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The proxy's name, unique in the fleet.
+    /// Name of the proxy, unique in the fleet.
     pub name: ProxyName,
-    /// The data centre of the VM.
+    /// Data centre of the VM.
     pub data_centre: Box<str>,
-    /// The service of the endpoint on this VM; requests that begin here name it as their caller.
+    /// Service of the endpoint on this VM; it is the caller of requests that arrive here.
     pub service: Box<str>,
-    /// Where callers and the VM's endpoint send requests.
+    /// Listening address for requests of callers and of the VM's endpoint.
     pub callers: SocketAddr,
-    /// Where this proxy listens for other proxies.
+    /// Listening address for other proxies.
     pub peers: SocketAddr,
-    /// Where other proxies connect; `peers` unless something stands between.
+    /// Address that other proxies connect to; defaults to `peers`.
     pub advertised: SocketAddr,
-    /// Where the VM's endpoint announces itself.
+    /// Listening address for announcements of the VM's endpoint.
     pub announcements: SocketAddr,
-    /// Where the platform asks for readiness.
+    /// Listening address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Where metrics are served.
+    /// Listening address for metrics and status.
     pub metrics: SocketAddr,
-    /// The VM's endpoint.
+    /// Address of the VM's endpoint.
     pub endpoint: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// How often the endpoint announces itself.
+    /// Heartbeat interval of the endpoint's announcements.
     pub announce_interval: Duration,
-    /// How long the platform lets a proxy finish after SIGTERM.
+    /// Time between the platform's SIGTERM and SIGKILL.
     pub shutdown_grace: Duration,
-    /// Arrivals at a service beyond the first of each request, as a share of its requests.
+    /// Retry budget of a service: retries allowed per first attempt.
     pub retry_ratio: f64,
-    /// Arrivals allowed beyond the ratio, for all guards of a service together.
+    /// Retries allowed beyond `retry_ratio`, for all guards of a service together.
     pub retry_slack: f64,
 }
 
 impl Settings {
-    /// Reads the file at `path`; all findings are returned together.
+    /// Reads the file at `path`.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or has invalid values; all findings are returned together.
     pub fn load(path: &Path) -> Result<Self, Error> {
         document::load(path, Self::parse)
     }
 
-    /// Parses `text`; all findings are returned together.
+    /// Parses `text`, the content of `file`.
+    ///
+    /// # Errors
+    ///
+    /// Missing or invalid values; all findings are returned together.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
-        document::parse_settings(file, text, "the proxy's settings", read)
+        document::parse_settings(file, text, "the proxy's settings", parse_section)
     }
 }
 
-fn read(section: &mut Section<'_>) -> Option<Settings> {
+fn parse_section(section: &mut Section<'_>) -> Option<Settings> {
     let name = section.required_text("name");
     let data_centre = section.required_text("data_centre");
     let service = section.required_text("service");
