--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, settings that change, and the end.
+//! Signals, reloading of the settings file, and graceful shutdown.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -12,33 +12,33 @@
     proxy::{Proxy, clock, events::Event, settings::Settings},
 };
 
-/// How often the settings file is looked at; it may change without a signal.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
-/// How often a stopping proxy looks whether it is done.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How often the settings file is read again; it may change without a SIGHUP.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
+/// How often a stopping proxy checks whether its stage is over.
+const STAGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The signals that are handled; those that come before they are waited for are kept.
+/// Handlers of SIGTERM and SIGHUP. A signal that arrives before `recv` is kept.
 pub(super) struct Signals {
     term: Signal,
     hup: Signal,
 }
 
 impl Signals {
-    /// Handles them from now on.
+    /// Installs the handlers.
     pub(super) fn register() -> io::Result<Self> {
         Ok(Self { term: signal(SignalKind::terminate())?, hup: signal(SignalKind::hangup())? })
     }
 }
 
-/// Serves until SIGTERM, then finishes what is under way.
+/// Serves until SIGTERM, then finishes the work in progress and returns.
 pub(super) async fn run_until_stopped(proxy: &Rc<Proxy>, signals: Signals) {
     let Signals { mut term, mut hup } = signals;
-    let mut look = interval(SETTINGS_EVERY);
+    let mut reload_interval = interval(RELOAD_INTERVAL);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = hup.recv() => proxy.reload(),
-            _ = look.tick() => proxy.reload(),
+            _ = reload_interval.tick() => proxy.reload(),
         }
     }
     let finish = proxy.finish();
@@ -46,14 +46,14 @@
     loop {
         tokio::select! {
             () = &mut finish => return,
-            // The platform grants the whole grace anew; to end by the first would cut what it still allows.
-            _ = term.recv() => proxy.stop_again(),
+            // The platform restarts the grace period with each SIGTERM.
+            _ = term.recv() => proxy.restart_grace(),
         }
     }
 }
 
 impl Proxy {
-    /// Reads the settings again; bad ones are told and left alone.
+    /// Reads the settings file again. Invalid settings are reported and the previous ones stay active.
     fn reload(&self) {
         match Settings::load(&self.settings_path) {
             Ok(it) if it == **self.settings.borrow() => (),
@@ -68,25 +68,26 @@
         }
     }
 
+    /// Shuts down in stages: hands over, finishes the work in progress, and leaves the fleet if the endpoint is gone.
     async fn finish(self: &Rc<Self>) {
-        let stop = Shutdown::new(clock::now(), self.settings.borrow().shutdown_grace);
-        self.stop.set(Some(stop));
+        let shutdown = Shutdown::new(clock::now(), self.settings.borrow().shutdown_grace);
+        self.stop.set(Some(shutdown));
         self.stop_requested.notify_waiters();
-        self.tell_stopping("SIGTERM");
+        self.log_stopping("SIGTERM");
         let removal = self.leave_fleet();
         let hand_over = async {
-            self.guard.drain_until(stop.work_deadline());
-            self.until(ShutdownStage::Finishing).await;
+            self.guard.drain_until(shutdown.work_deadline());
+            self.wait_for_stage(ShutdownStage::Finishing).await;
             self.guard.stop_granting();
-            self.until(ShutdownStage::Done).await;
+            self.wait_for_stage(ShutdownStage::Done).await;
         };
         tokio::join!(removal, hand_over);
-        self.tell_stopping("done");
-        // The event writer gets its last lines out.
+        self.log_stopping("done");
+        // Gives the event writer time to write its last lines.
         sleep(Duration::from_millis(20)).await;
     }
 
-    /// Leaves the fleet for good if the endpoint is gone; beside one that lives on, another run of this proxy will follow.
+    /// Leaves the fleet if no endpoint is serving. While an endpoint serves, the proxy is expected to restart.
     async fn leave_fleet(&self) {
         if self.guard.serving_endpoint().is_some() {
             return;
@@ -94,29 +95,29 @@
         self.directory.borrow_mut().edit_own(clock::now(), |it| it.leaving = true);
         self.request_hello_to_all();
         if let Err(error) = self.store.remove_presence(&self.name).await {
-            log::debug!("this proxy's object stays in the store: {error}");
+            log::debug!("removing this proxy's presence object from the store: {error}");
         }
     }
 
-    /// Another SIGTERM came.
-    fn stop_again(&self) {
-        if let Some(mut it) = self.stop.get() {
-            it.extend_grace(clock::now());
-            self.stop.set(Some(it));
+    /// Handles a further SIGTERM: the grace period starts again.
+    fn restart_grace(&self) {
+        if let Some(mut shutdown) = self.stop.get() {
+            shutdown.extend_grace(clock::now());
+            self.stop.set(Some(shutdown));
         }
-        self.tell_stopping("SIGTERM again");
+        self.log_stopping("SIGTERM again");
     }
 
-    fn tell_stopping(&self, why: &str) {
-        self.events.emit(&Event::Stopping { why, running: self.under_way() });
+    fn log_stopping(&self, why: &str) {
+        self.events.emit(&Event::Stopping { why, running: self.work_in_progress() });
     }
 
-    /// Requests and runs that have no end yet.
-    fn under_way(&self) -> usize {
+    /// Number of caller requests and of runs at the endpoint that have not ended.
+    fn work_in_progress(&self) -> usize {
         self.open_requests.get() + self.guard.open_grants()
     }
 
-    /// Waits until a stopping process has to give its last answers.
+    /// Waits until this proxy is stopping and all its requests must have their responses.
     pub(super) async fn final_responses_due(&self) {
         while self.stop.get().is_none() {
             self.stop_requested.notified().await;
@@ -127,15 +128,15 @@
         }
     }
 
-    /// Waits until the stop has come to `stage`, or to its end.
-    async fn until(&self, stage: ShutdownStage) {
-        while let Some(mut stop) = self.stop.get() {
-            let now = stop.advance(clock::now(), self.under_way() > 0);
-            self.stop.set(Some(stop));
-            if now == stage || now == ShutdownStage::Done {
+    /// Waits until the shutdown has reached `stage` or is done.
+    async fn wait_for_stage(&self, stage: ShutdownStage) {
+        while let Some(mut shutdown) = self.stop.get() {
+            let current = shutdown.advance(clock::now(), self.work_in_progress() > 0);
+            self.stop.set(Some(shutdown));
+            if current == stage || current == ShutdownStage::Done {
                 return;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(STAGE_CHECK_INTERVAL).await;
         }
     }
 }
