--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,7 +1,7 @@
-//! One proxy beside one endpoint: ingress for the requests that begin on this VM, guard of its endpoint.
+//! The proxy of one VM. Its ingress routes the requests that arrive on the VM; its guard admits work to the endpoint.
 //!
-//! Everything runs on one thread, since the VM has a fraction of a core. Decisions are in
-//! [`decide`](crate::decide); this module and its parts do input and output and call them.
+//! Everything runs on one thread, because the VM has a fraction of a core. Decisions are made in
+//! [`decide`](crate::decide); this module and its submodules do the input and output.
 
 mod admin;
 mod backoff;
@@ -64,10 +64,10 @@
     rows::Stamp,
 };
 
-/// The bounds of the latency histograms, in seconds: from a hop to the longest timeouts.
+/// Bucket bounds of the latency histograms, in seconds.
 const BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 25.0, 60.0];
 
-/// The state of this process.
+/// State of the proxy, shared by all its tasks.
 pub(crate) struct Proxy {
     name: ProxyName,
     started: Instant,
@@ -76,56 +76,56 @@
     events: Rc<EventLog>,
     store: Store,
     guard: Rc<Guard>,
-    /// The configuration in force; its version never goes down.
+    /// Active configuration; its version never decreases.
     config: RefCell<Option<Rc<Config>>>,
-    /// What of it wasn't understood.
+    /// Invalid parts of the active configuration.
     config_findings: RefCell<Vec<ConfigFinding>>,
     config_changed: Notify,
-    /// A configuration is being fetched from a peer.
+    /// Whether a configuration is being fetched from a peer.
     fetching_config: Cell<bool>,
-    /// When someone last had the store's answer that the configuration in force is the newest, as far as known.
+    /// When the store last confirmed to any proxy that the active configuration is the newest, as far as known here.
     config_confirmed_at: Cell<Option<Instant>>,
-    /// This proxy watches the store for the others.
+    /// Whether this proxy watches the store on behalf of the fleet.
     watching: Cell<bool>,
-    /// The store gave the last watch, or the read before it, no answer.
+    /// Whether this proxy's last read or watch of the store's configuration failed.
     store_unreachable: Cell<bool>,
     substitution: Cell<WatchSubstitution>,
     directory: RefCell<Directory>,
-    /// Some row changed, or a proxy joined or left.
+    /// Notified when a directory entry changes or a proxy joins or leaves.
     members_changed: Notify,
     /// Sorted by name.
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
     needs: RefCell<RecentServices>,
-    /// The store's list of proxies was taken in.
+    /// Whether a non-empty list of proxies was read from the store.
     members_loaded: Cell<bool>,
     ingress: RefCell<IngressState>,
-    /// See [`directory::ProxyStatus::revision`].
+    /// Number of changes of the endpoint or its standing; sent as [`directory::ProxyStatus::revision`].
     endpoint_changes: Cell<u64>,
-    /// Requests of callers that have no answer yet.
+    /// Number of caller requests without a response.
     open_requests: Cell<usize>,
-    /// Set by SIGTERM.
+    /// Set when SIGTERM is received.
     stop: Cell<Option<Shutdown>>,
-    /// `stop` was set.
+    /// Notified when `stop` is set.
     stop_requested: Notify,
     metrics: PrometheusHandle,
 }
 
-/// Runs a proxy until it is told to stop.
+/// Runs a proxy with the settings file at `path` until SIGTERM.
 ///
 /// # Errors
 ///
-/// Settings with findings, and sockets that can't be opened.
+/// Invalid settings, sockets that can't be opened, and failures to start the runtime, the event writer or the metrics.
 pub fn run(path: &Path) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|it| Error::io("starting the runtime", it))?;
-    LocalSet::new().block_on(&runtime, run_here(path))
+    LocalSet::new().block_on(&runtime, run_in_local_set(path))
 }
 
-async fn run_here(path: &Path) -> Result<(), Error> {
-    // Before all else: a signal that finds no handler ends the process.
-    let signals = Signals::register().map_err(|it| Error::io("taking signals", it))?;
+async fn run_in_local_set(path: &Path) -> Result<(), Error> {
+    // First, because a signal without a handler kills the process.
+    let signals = Signals::register().map_err(|it| Error::io("installing the signal handlers", it))?;
     let settings = Settings::load(path)?;
     let events = EventLog::start(settings.name.clone(), io::stdout())
         .map_err(|it| Error::io("starting the event writer", it))?;
@@ -156,7 +156,7 @@
             watching: Cell::new(false),
             store_unreachable: Cell::new(false),
             substitution: Cell::default(),
-            directory: RefCell::new(Directory::new(first_row(&settings), now)),
+            directory: RefCell::new(Directory::new(initial_row(&settings), now)),
             settings: RefCell::new(Rc::new(settings)),
             members_changed: Notify::new(),
             links: RefCell::default(),
@@ -171,12 +171,12 @@
         })
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// Version of the active configuration; 0 if there is none.
     fn version(&self) -> Version {
         self.config.borrow().as_ref().map_or(0, |it| it.version)
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Activates a configuration if it is newer than the active one.
     fn activate_config(&self, parsed: ParsedConfig, source: &str) {
         let ParsedConfig { config, findings } = parsed;
         let before = self.version();
@@ -195,13 +195,13 @@
             confirmed_ms: self.confirmed_ms(),
         });
         metrics::gauge!("jayreach_config_version").set(config.version as f64);
-        self.keep_routes(&config);
+        self.drop_removed_routes(&config);
         *self.config.borrow_mut() = Some(Rc::new(config));
         self.config_changed.notify_one();
     }
 
-    /// Forgets what was learnt of routes that `config` does not have.
-    fn keep_routes(&self, config: &Config) {
+    /// Drops the statistics of routes that are not in `config`.
+    fn drop_removed_routes(&self, config: &Config) {
         let mut names: Vec<&str> = config.routes().iter().map(|it| &*it.name).collect();
         names.sort_unstable();
         let keep = |it: &str| names.binary_search(&it).is_ok();
@@ -209,7 +209,7 @@
         self.guard.retain_routes(keep);
     }
 
-    /// Says that something which another writer left or sent, in the store or as an announcement, can't be used.
+    /// Logs and counts an invalid object of the store or an invalid announcement; `of` says which of the two.
     fn report_skipped_entry(&self, of: &'static str, entry: &str, why: &str) {
         self.events.emit(&Event::EntrySkipped { entry, why });
         metrics::counter!("jayreach_entries_skipped_total", "of" => of).increment(1);
@@ -219,25 +219,25 @@
         self.stop.get().is_some()
     }
 
-    /// Whether new requests are refused at once: what begins now could not be finished.
+    /// Whether new requests are refused because the shutdown leaves no time to finish them.
     fn refuses_new_requests(&self) -> bool {
         self.stop.get().is_some_and(|it| it.stage() != ShutdownStage::HandingOver)
     }
 
-    /// Whether callers should come here.
+    /// Whether callers should send requests to this proxy.
     fn is_ready(&self) -> bool {
         !self.is_stopping() && self.config.borrow().is_some()
     }
 
-    /// Counts a request until the result is dropped.
+    /// Counts a request as open until the returned value is dropped.
     fn count_request(self: &Rc<Self>) -> CountedRequest {
         self.open_requests.set(self.open_requests.get() + 1);
         CountedRequest(Rc::clone(self))
     }
 }
 
-/// The row of a proxy that has just started.
-fn first_row(settings: &Settings) -> Row {
+/// Directory entry of a proxy that has just started.
+fn initial_row(settings: &Settings) -> Row {
     Row {
         daemon: settings.name.clone(),
         stamp: Stamp { incarnation: clock::unix_millis(), sequence: 1, down: false },
@@ -248,7 +248,7 @@
     }
 }
 
-/// A request that has no answer yet.
+/// A request that counts as open in `Proxy::open_requests` until this is dropped.
 struct CountedRequest(Rc<Proxy>);
 
 impl Drop for CountedRequest {
