--- a/src/platform/announce.rs
+++ b/src/platform/announce.rs
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// A body that is not a heartbeat, with what is wrong and where.
-pub fn announced(id: &str, body: &[u8], now: UnixMillis) -> Result<Announcement, serde_json::Error> {
+pub fn parse_heartbeat(id: &str, body: &[u8], now: UnixMillis) -> Result<Announcement, serde_json::Error> {
     let it: Heartbeat = serde_json::from_slice(body)?;
     let phase = match it.state {
         State::Ready => EndpointPhase::Serving,
@@ -88,7 +88,7 @@
 }
 
 /// Which life of the endpoint `id` says with `body` that it is gone; an empty or odd body doesn't tell its start.
-pub fn deregistered(id: &str, body: &[u8], now: UnixMillis) -> EndpointId {
+pub fn parse_deregistration(id: &str, body: &[u8], now: UnixMillis) -> EndpointId {
     let birth: Birth = serde_json::from_slice(body).unwrap_or_default();
     EndpointId::new(id, birth.born, now)
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -10,7 +10,7 @@
 mod objects;
 mod store;
 
-pub use announce::{AnnounceCall, announce_call, announced, deregistered};
+pub use announce::{AnnounceCall, announce_call, parse_deregistration, parse_heartbeat};
 pub use config::{ConfigFinding, ParsedConfig, parse_config};
 pub use headers::{
     caller_service, deadline, endpoint_load, expects_instance, health_path_answer, is_seal, not_executed, request_id,
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -207,12 +207,12 @@
     };
     let now = clock::unix_millis();
     match call {
-        AnnounceCall::Heartbeat(id) => match platform::announced(&id, &body, now) {
+        AnnounceCall::Heartbeat(id) => match platform::parse_heartbeat(&id, &body, now) {
             Ok(it) => proxy.take_heartbeat(it),
             Err(error) => skip(&proxy, &id, &error.to_string()),
         },
         AnnounceCall::Deregister(id) => {
-            proxy.guard.handle_deregistration(platform::deregistered(&id, &body, now));
+            proxy.guard.handle_deregistration(platform::parse_deregistration(&id, &body, now));
             json_response(StatusCode::OK, "{}")
         }
     }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -4,7 +4,7 @@
 
 use hyper::{HeaderMap, Method};
 use jayreach::{
-    platform::{self, AnnounceCall, announce_call, announced, deregistered, parse_config},
+    platform::{self, AnnounceCall, announce_call, parse_config, parse_deregistration, parse_heartbeat},
     proxy::{
         guard::EndpointPhase,
         routes::{Config, Idempotency},
@@ -140,7 +140,7 @@
     let body = br#"{"service":"s","address":"10.0.0.9:8080","zone":"z","version":"v1","slots":4,"state":"draining",
         "warmup_left_s":1.5,"sequence":9,"born":1764700000000}"#;
 
-    let it = announced("i-1", body, NOW).expect("it is a heartbeat");
+    let it = parse_heartbeat("i-1", body, NOW).expect("it is a heartbeat");
 
     assert_eq!((&*it.id.name, it.id.started_at), ("i-1", Some(1_764_700_000_000)));
     assert_eq!((&*it.service, it.slots, it.sequence), ("s", 4, 9));
@@ -160,10 +160,10 @@
         "{{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":4,\"state\":\"ready\",\"sequence\":9{born}}}"
     );
 
-    let it = announced("i-1", body.as_bytes(), NOW).expect("it is a heartbeat");
+    let it = parse_heartbeat("i-1", body.as_bytes(), NOW).expect("it is a heartbeat");
 
     assert_eq!(it.id.started_at, None);
-    let gone = deregistered("i-1", format!("{{\"other\":1{born}}}").as_bytes(), NOW);
+    let gone = parse_deregistration("i-1", format!("{{\"other\":1{born}}}").as_bytes(), NOW);
     assert_eq!(gone.started_at, None);
 }
 
@@ -178,9 +178,9 @@
 fn what_is_no_heartbeat_is_refused(#[case] from: &str, #[case] to: &str) {
     let body = "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":4,\"state\":\"ready\",\"sequence\":9}";
 
-    assert!(announced("i-1", body.as_bytes(), NOW).is_ok());
-    assert!(announced("i-1", body.replacen(from, to, 1).as_bytes(), NOW).is_err());
-    assert!(announced("i-1", b"\xff\xfe", NOW).is_err());
+    assert!(parse_heartbeat("i-1", body.as_bytes(), NOW).is_ok());
+    assert!(parse_heartbeat("i-1", body.replacen(from, to, 1).as_bytes(), NOW).is_err());
+    assert!(parse_heartbeat("i-1", b"\xff\xfe", NOW).is_err());
 }
 
 /// What becomes of the `services` of a configuration: the health path of `x`, and the places of findings.
@@ -222,8 +222,8 @@
         let mut spoilt = CONFIG.as_bytes().to_vec();
         let at = at % spoilt.len();
         spoilt[at] = byte;
-        _ = announced("i-1", &bytes, NOW);
-        _ = deregistered("i-1", &bytes, NOW);
+        _ = parse_heartbeat("i-1", &bytes, NOW);
+        _ = parse_deregistration("i-1", &bytes, NOW);
         _ = parse_config(&String::from_utf8_lossy(&bytes));
         if let Ok(it) = parse_config(&String::from_utf8_lossy(&spoilt)) {
             prop_assert!(it.config.routes().len() <= 2);
