--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::{
-    platform::{entries::Entries, health::USUAL_HEALTH_PATH},
+    platform::{entries::Entries, health::DEFAULT_HEALTH_PATH},
     proxy::routes::{Cluster, Config, HealthPath, Idempotency, RequestLimits, Route, ServiceName, Version},
 };
 
@@ -151,7 +151,7 @@
     if !path.starts_with('/') || path.parse::<PathAndQuery>().is_err() {
         return Err(de::Error::custom(format_args!("`{path}` is no path")));
     }
-    Ok(Some(path).filter(|it| **it != *USUAL_HEALTH_PATH))
+    Ok(Some(path).filter(|it| **it != *DEFAULT_HEALTH_PATH))
 }
 
 fn finding(place: &str, problem: impl Into<Box<str>>) -> ConfigFinding {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -41,14 +41,14 @@
 }
 
 /// Binds a request to one incarnation of an endpoint.
-pub fn set_instance(headers: &mut HeaderMap, id: &str) {
+pub fn set_expected_instance(headers: &mut HeaderMap, id: &str) {
     if let Ok(value) = HeaderValue::from_str(id) {
         headers.insert(EXPECT_INSTANCE, value);
     }
 }
 
 /// Which incarnation a request is bound to.
-pub fn expects_instance(headers: &HeaderMap) -> Option<&str> {
+pub fn expected_instance(headers: &HeaderMap) -> Option<&str> {
     text(headers, &EXPECT_INSTANCE)
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Whether an answer bears an endpoint's signature.
-pub fn is_seal(headers: &HeaderMap) -> bool {
+pub fn has_response_seal(headers: &HeaderMap) -> bool {
     headers.contains_key(SEAL)
 }
 
@@ -82,7 +82,7 @@
 }
 
 /// The incarnation that answered a health question, or a request meant for another one.
-pub fn health_path_answer(headers: &HeaderMap) -> Option<&str> {
+pub fn instance_id(headers: &HeaderMap) -> Option<&str> {
     text(headers, &INSTANCE_ID)
 }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -13,10 +13,10 @@
 pub use announce::{AnnounceCall, announce_call, parse_deregistration, parse_heartbeat};
 pub use config::{ConfigFinding, ParsedConfig, parse_config};
 pub use headers::{
-    caller_service, deadline, endpoint_load, expects_instance, health_path_answer, is_seal, not_executed, request_id,
-    retry_after, set_caller_service, set_deadline, set_instance,
+    caller_service, deadline, endpoint_load, expected_instance, has_response_seal, instance_id, not_executed,
+    request_id, retry_after, set_caller_service, set_deadline, set_expected_instance,
 };
-pub use health::health;
+pub use health::probe_health;
 pub use objects::{Listing, PresenceObject, QuarantineObject, SkippedObject, Trial};
 pub use store::{ConfigObject, Consistency, Era, Position, Store, StoreFailure, WatchEnd};
 
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -160,7 +160,7 @@
         let settings = Rc::clone(&self.settings.borrow());
         let config = self.config.borrow().clone();
         let path = config.as_ref().and_then(|it| it.health_path(&settings.service));
-        let health = platform::health(settings.endpoint, path, HEALTH_TIMEOUT).await;
+        let health = platform::probe_health(settings.endpoint, path, HEALTH_TIMEOUT).await;
         let Some((id, slots)) = health else { return };
         self.guard.handle_health_reply(Announcement {
             id: EndpointId { name: id, started_at: None },
--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -144,7 +144,7 @@
         *out.method_mut() = req.head.method().clone();
         *out.uri_mut() = req.head.uri().clone();
         *out.headers_mut() = req.head.headers().clone();
-        platform::set_instance(out.headers_mut(), &req.instance_id);
+        platform::set_expected_instance(out.headers_mut(), &req.instance_id);
         platform::set_deadline(out.headers_mut(), req.time_left);
         if !out.headers().contains_key(HOST) {
             let host = self.address.to_string().parse().expect("an address is a header value");
@@ -182,7 +182,7 @@
             return RunEnd::NotRun(NotRunReason::Declined);
         }
         // Callers ask for plain bodies: a coded one isn't the endpoint's.
-        if !platform::is_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
+        if !platform::has_response_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
             return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
         self.keep(connection, &head.headers);
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -239,12 +239,12 @@
 
     platform::set_deadline(&mut headers, Duration::from_millis(1_234));
     platform::set_caller_service(&mut headers, "desk");
-    platform::set_instance(&mut headers, "i-1");
+    platform::set_expected_instance(&mut headers, "i-1");
 
     assert_eq!(platform::endpoint_load(&headers), Some((3, 1, 8)));
     assert_eq!(platform::deadline(&headers), Some(Duration::from_millis(1_234)));
     assert_eq!(platform::caller_service(&headers), Some("desk"));
-    assert_eq!(platform::expects_instance(&headers), Some("i-1"));
+    assert_eq!(platform::expected_instance(&headers), Some("i-1"));
     assert_eq!(platform::retry_after(Duration::from_millis(1_250)).1, "1.25");
 }
 
