--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -17,7 +17,7 @@
     request_id, retry_after, set_caller_service, set_deadline, set_expected_instance,
 };
 pub use health::probe_health;
-pub use objects::{Listing, PresenceObject, QuarantineObject, SkippedObject, Trial};
+pub use objects::{Listing, PresenceObject, QuarantineObject, SkippedObject, TrialClaim};
 pub use store::{ConfigObject, Consistency, Era, Position, Store, StoreFailure, WatchEnd};
 
 /// The path of the platform's readiness question.
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -39,11 +39,11 @@
 
 /// Whose a trial is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trial {
+pub enum TrialClaim {
     /// The asking proxy's; the case with it.
-    Begun(CrashRecord),
+    Claimed(CrashRecord),
     /// Another proxy's; the case as far as known.
-    Another(CrashRecord),
+    ClaimedByOther(CrashRecord),
 }
 
 /// An object of a kind of ours.
@@ -86,7 +86,7 @@
     /// Its name; empty if that can't be read.
     pub name: Box<str>,
     /// What is wrong with it.
-    pub why: Box<str>,
+    pub reason: Box<str>,
 }
 
 #[derive(Serialize)]
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn presences(&self, consistency: Consistency) -> Result<Listing<PresenceObject>, StoreFailure> {
+    pub async fn list_presences(&self, consistency: Consistency) -> Result<Listing<PresenceObject>, StoreFailure> {
         self.list(consistency).await
     }
 
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn quarantined(&self, consistency: Consistency) -> Result<Listing<QuarantineObject>, StoreFailure> {
+    pub async fn list_quarantined(&self, consistency: Consistency) -> Result<Listing<QuarantineObject>, StoreFailure> {
         self.list(consistency).await
     }
 
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`]; then the trial may count as begun, and must not be made.
-    pub async fn begin_trial(&self, known: &QuarantineObject) -> Result<Trial, StoreFailure> {
+    pub async fn claim_trial(&self, known: &QuarantineObject) -> Result<TrialClaim, StoreFailure> {
         let name = known.name();
         let path = format!("/objects/{}/{name}", QuarantineObject::KIND);
         let (status, body) = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
@@ -172,7 +172,7 @@
         let object: Object<'_> = serde_json::from_str(&text)?;
         let stored: QuarantineObject = serde_json::from_str(object.spec.get())?;
         if stored.case.trials() != known.case.trials() {
-            return Ok(Trial::Another(stored.case));
+            return Ok(TrialClaim::ClaimedByOther(stored.case));
         }
         let body = encode(&next, Some(object.metadata.revision))?;
         let (status, _) = self.call(Method::PUT, &path, body, CALL_TIMEOUT).await?;
@@ -248,13 +248,17 @@
     Ok(Bytes::from(serde_json::to_vec(&object)?))
 }
 
-fn begun(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<Trial, StoreFailure> {
-    if status == StatusCode::CONFLICT { Ok(Trial::Another(known)) } else { done(status).map(|()| Trial::Begun(next)) }
+fn begun(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<TrialClaim, StoreFailure> {
+    if status == StatusCode::CONFLICT {
+        Ok(TrialClaim::ClaimedByOther(known))
+    } else {
+        done(status).map(|()| TrialClaim::Claimed(next))
+    }
 }
 
 /// Decodes an object, which must be under the name of what it tells of.
 fn decode<T: Kept>(raw: &str) -> Result<T, SkippedObject> {
-    let skipped = |name: &str, why: String| SkippedObject { name: name.into(), why: why.into() };
+    let skipped = |name: &str, why: String| SkippedObject { name: name.into(), reason: why.into() };
     let object: Object<'_> = serde_json::from_str(raw).map_err(|it| skipped("", it.to_string()))?;
     let name = &object.metadata.name;
     let spec: T = serde_json::from_str(object.spec.get()).map_err(|it| skipped(name, it.to_string()))?;
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -25,7 +25,7 @@
         let presence = self.presence();
         let mut backoff = Backoff::new(&self);
         let listed = loop {
-            match self.store.presences(Consistency::Stale).await {
+            match self.store.list_presences(Consistency::Stale).await {
                 Ok(it) => break it,
                 Err(error) => backoff.pause_after_failure(&error).await,
             }
@@ -64,7 +64,7 @@
         for look in 0.. {
             sleep(LIST_AGAIN.mul_f64(rand::rng().random_range(0.7..1.3))).await;
             let consistency = if look < STALE_LOOKS { Consistency::Stale } else { Consistency::Linearizable };
-            match self.store.presences(consistency).await {
+            match self.store.list_presences(consistency).await {
                 Ok(it) => {
                     backoff.record_answer();
                     // A stale listing that holds it is newer than it.
@@ -91,7 +91,7 @@
 
     fn take_list(&self, list: Listing<PresenceObject>) {
         for it in &list.skipped {
-            self.report_skipped_entry("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.reason);
         }
         // An empty one may be older than all the fleet.
         self.members_loaded.set(self.members_loaded.get() || !list.objects.is_empty());
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -16,7 +16,7 @@
         fingerprint::Fingerprint,
         quarantine::{CrashRecord, CrashRecordUpdate},
     },
-    platform::{Consistency, QuarantineObject, StoreFailure, Trial},
+    platform::{Consistency, QuarantineObject, StoreFailure, TrialClaim},
     proxy::{
         Proxy,
         backoff::Backoff,
@@ -89,9 +89,9 @@
 
     /// Takes in what the store has, which may be some seconds old.
     async fn read_quarantine(&self) -> Result<(), StoreFailure> {
-        let list = self.store.quarantined(Consistency::Stale).await?;
+        let list = self.store.list_quarantined(Consistency::Stale).await?;
         for it in &list.skipped {
-            self.report_skipped_entry("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.reason);
         }
         let told = list.objects.iter().map(|it| CrashRecordUpdate {
             fingerprint: it.fingerprint,
@@ -141,12 +141,12 @@
         // Other requests of this kind that come meanwhile are refused.
         self.guard.postpone_trial(fingerprint);
         let object = QuarantineObject { fingerprint, case: self.guard.case(fingerprint), by: self.name.clone() };
-        match timeout(TRIAL_WAIT, self.store.begin_trial(&object)).await {
-            Ok(Ok(Trial::Begun(case))) => {
+        match timeout(TRIAL_WAIT, self.store.claim_trial(&object)).await {
+            Ok(Ok(TrialClaim::Claimed(case))) => {
                 self.take_trial(fingerprint, case);
                 true
             }
-            Ok(Ok(Trial::Another(case))) => {
+            Ok(Ok(TrialClaim::ClaimedByOther(case))) => {
                 self.take_trial(fingerprint, case);
                 false
             }
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -7,7 +7,7 @@
 
 use jayreach::{
     decide::{fingerprint::Fingerprint, quarantine::Quarantine},
-    platform::{QuarantineObject, Store, Trial},
+    platform::{QuarantineObject, Store, TrialClaim},
 };
 use serde_json::json;
 use standins::platform::{
@@ -42,12 +42,12 @@
 
     run(async {
         client.add_quarantined(&known).await.expect("it is written");
-        let first = client.begin_trial(&known).await.expect("an answer");
-        let second = client.begin_trial(&QuarantineObject { by: "vm-2".into(), ..known.clone() }).await;
+        let first = client.claim_trial(&known).await.expect("an answer");
+        let second = client.claim_trial(&QuarantineObject { by: "vm-2".into(), ..known.clone() }).await;
 
-        let Trial::Begun(case) = first else { panic!("{first:?}") };
+        let TrialClaim::Claimed(case) = first else { panic!("{first:?}") };
         assert_eq!(case.trials(), 1);
-        assert_eq!(second.expect("an answer"), Trial::Another(case));
+        assert_eq!(second.expect("an answer"), TrialClaim::ClaimedByOther(case));
     });
 }
 
@@ -59,8 +59,8 @@
 
     run(async {
         client.add_quarantined(&known).await.expect("it is written");
-        let (one, other) = tokio::join!(client.begin_trial(&known), client.begin_trial(&known));
-        let begun = [one, other].into_iter().filter(|it| matches!(it, Ok(Trial::Begun(_)))).count();
+        let (one, other) = tokio::join!(client.claim_trial(&known), client.claim_trial(&known));
+        let begun = [one, other].into_iter().filter(|it| matches!(it, Ok(TrialClaim::Claimed(_)))).count();
         assert_eq!(begun, 1);
     });
 }
--- a/tests/store_listing.rs
+++ b/tests/store_listing.rs
@@ -52,7 +52,7 @@
           ],\"has_more\":false,\"at_rev\":9}",
     );
 
-    let list = run(store.presences(Consistency::Linearizable)).expect("a listing");
+    let list = run(store.list_presences(Consistency::Linearizable)).expect("a listing");
 
     assert_eq!(names(&list), (vec!["a", "z"], vec!["b", "c", "", "e", "f\u{fffd}", "", "", ""]));
 }
@@ -61,7 +61,7 @@
 fn a_listing_without_one_good_name_ends() {
     let store = store(b"{\"items\":[{\"metadata\":{}},null],\"has_more\":true,\"at_rev\":9}");
 
-    let list = run(store.presences(Consistency::Linearizable)).expect("a listing");
+    let list = run(store.list_presences(Consistency::Linearizable)).expect("a listing");
 
     assert_eq!((list.objects.len(), list.skipped.len()), (0, 2));
 }
