--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -32,9 +32,11 @@
     /// Which request.
     pub fingerprint: Fingerprint,
     /// What is known against it.
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
     /// The proxy that wrote this.
-    pub by: ProxyName,
+    #[serde(rename = "by")]
+    pub written_by: ProxyName,
 }
 
 /// Whose a trial is.
@@ -160,10 +162,10 @@
         let name = known.name();
         let path = format!("/objects/{}/{name}", QuarantineObject::KIND);
         let (status, body) = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
-        let next = QuarantineObject { case: known.case.with_trial(), ..known.clone() };
+        let next = QuarantineObject { crash_record: known.crash_record.with_trial(), ..known.clone() };
         if status == StatusCode::NOT_FOUND {
             let status = self.create(&next).await?;
-            return begun(status, next.case, known.case);
+            return begun(status, next.crash_record, known.crash_record);
         }
         if status != StatusCode::OK {
             return Err(StoreFailure::Refused(status.as_u16()));
@@ -171,12 +173,12 @@
         let text = text(&body);
         let object: Object<'_> = serde_json::from_str(&text)?;
         let stored: QuarantineObject = serde_json::from_str(object.spec.get())?;
-        if stored.case.trials() != known.case.trials() {
-            return Ok(TrialClaim::ClaimedByOther(stored.case));
+        if stored.crash_record.trials() != known.crash_record.trials() {
+            return Ok(TrialClaim::ClaimedByOther(stored.crash_record));
         }
         let body = encode(&next, Some(object.metadata.revision))?;
         let (status, _) = self.call(Method::PUT, &path, body, CALL_TIMEOUT).await?;
-        begun(status, next.case, known.case)
+        begun(status, next.crash_record, known.crash_record)
     }
 
     /// Says that a request is no longer held back.
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -95,7 +95,7 @@
         }
         let told = list.objects.iter().map(|it| CrashRecordUpdate {
             fingerprint: it.fingerprint,
-            record: it.case,
+            record: it.crash_record,
             age: Duration::ZERO,
         });
         self.guard.merge_cases(&told.collect::<Vec<_>>(), CaseSource::Store);
@@ -118,7 +118,7 @@
         loop {
             let case = self.guard.case(fingerprint);
             let done = if case.is_quarantined() {
-                let object = QuarantineObject { fingerprint, case, by: self.name.clone() };
+                let object = QuarantineObject { fingerprint, crash_record: case, written_by: self.name.clone() };
                 self.store.add_quarantined(&object).await
             } else if case.is_cleared() {
                 self.store.remove_quarantined(fingerprint).await
@@ -140,7 +140,8 @@
         }
         // Other requests of this kind that come meanwhile are refused.
         self.guard.postpone_trial(fingerprint);
-        let object = QuarantineObject { fingerprint, case: self.guard.case(fingerprint), by: self.name.clone() };
+        let object =
+            QuarantineObject { fingerprint, crash_record: self.guard.case(fingerprint), written_by: self.name.clone() };
         match timeout(TRIAL_WAIT, self.store.claim_trial(&object)).await {
             Ok(Ok(TrialClaim::Claimed(case))) => {
                 self.take_trial(fingerprint, case);
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -26,7 +26,7 @@
     for _ in 0..2 {
         quarantine.record_crash(&[(fingerprint, quarantine.crash_record(fingerprint))], Instant::now());
     }
-    QuarantineObject { fingerprint, case: quarantine.crash_record(fingerprint), by: "vm-1".into() }
+    QuarantineObject { fingerprint, crash_record: quarantine.crash_record(fingerprint), written_by: "vm-1".into() }
 }
 
 fn run<T>(work: impl Future<Output = T>) -> T {
@@ -43,7 +43,7 @@
     run(async {
         client.add_quarantined(&known).await.expect("it is written");
         let first = client.claim_trial(&known).await.expect("an answer");
-        let second = client.claim_trial(&QuarantineObject { by: "vm-2".into(), ..known.clone() }).await;
+        let second = client.claim_trial(&QuarantineObject { written_by: "vm-2".into(), ..known.clone() }).await;
 
         let TrialClaim::Claimed(case) = first else { panic!("{first:?}") };
         assert_eq!(case.trials(), 1);
