--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -18,7 +18,7 @@
 };
 pub use health::probe_health;
 pub use objects::{Listing, PresenceObject, QuarantineObject, SkippedObject, TrialClaim};
-pub use store::{ConfigObject, Consistency, Era, Position, Store, StoreFailure, WatchEnd};
+pub use store::{ConfigSnapshot, Consistency, Era, Store, StoreFailure, WatchEnd, WatchPosition};
 
 /// The path of the platform's readiness question.
 pub const READINESS_PATH: &str = "/readiness";
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -49,7 +49,7 @@
 }
 
 /// An object of a kind of ours.
-trait Kept: Serialize + DeserializeOwned {
+trait StoreObject: Serialize + DeserializeOwned {
     /// The kind.
     const KIND: &'static str;
 
@@ -57,7 +57,7 @@
     fn name(&self) -> Box<str>;
 }
 
-impl Kept for PresenceObject {
+impl StoreObject for PresenceObject {
     const KIND: &'static str = "jayreach-proxies";
 
     fn name(&self) -> Box<str> {
@@ -65,7 +65,7 @@
     }
 }
 
-impl Kept for QuarantineObject {
+impl StoreObject for QuarantineObject {
     const KIND: &'static str = "jayreach-quarantine";
 
     fn name(&self) -> Box<str> {
@@ -149,7 +149,7 @@
     /// See [`StoreFailure`].
     pub async fn add_quarantined(&self, quarantined: &QuarantineObject) -> Result<(), StoreFailure> {
         let status = self.create(quarantined).await?;
-        if status == StatusCode::CONFLICT { Ok(()) } else { done(status) }
+        if status == StatusCode::CONFLICT { Ok(()) } else { check_status(status) }
     }
 
     /// Begins a trial of a request that is held back, in the name of one proxy only: as long as the object there is of as
@@ -165,7 +165,7 @@
         let next = QuarantineObject { crash_record: known.crash_record.with_trial(), ..known.clone() };
         if status == StatusCode::NOT_FOUND {
             let status = self.create(&next).await?;
-            return begun(status, next.crash_record, known.crash_record);
+            return claim_result(status, next.crash_record, known.crash_record);
         }
         if status != StatusCode::OK {
             return Err(StoreFailure::Refused(status.as_u16()));
@@ -178,7 +178,7 @@
         }
         let body = encode(&next, Some(object.metadata.revision))?;
         let (status, _) = self.call(Method::PUT, &path, body, CALL_TIMEOUT).await?;
-        begun(status, next.crash_record, known.crash_record)
+        claim_result(status, next.crash_record, known.crash_record)
     }
 
     /// Says that a request is no longer held back.
@@ -190,7 +190,7 @@
         self.remove::<QuarantineObject>(&fingerprint.to_string()).await
     }
 
-    async fn list<T: Kept>(&self, consistency: Consistency) -> Result<Listing<T>, StoreFailure> {
+    async fn list<T: StoreObject>(&self, consistency: Consistency) -> Result<Listing<T>, StoreFailure> {
         let mut list = Listing { objects: Vec::new(), skipped: Vec::new() };
         let mut after: Option<Box<str>> = None;
         loop {
@@ -204,7 +204,7 @@
             let page: Page<'_> = serde_json::from_str(&text)?;
             let mut last = None;
             for it in &page.items {
-                match decode::<T>(it.get()) {
+                match decode_object::<T>(it.get()) {
                     Ok(it) => {
                         last = Some(it.name());
                         list.objects.push(it);
@@ -222,44 +222,44 @@
         }
     }
 
-    async fn put<T: Kept>(&self, spec: &T) -> Result<(), StoreFailure> {
+    async fn put<T: StoreObject>(&self, spec: &T) -> Result<(), StoreFailure> {
         let status = self.create(spec).await?;
         if status != StatusCode::CONFLICT {
-            return done(status);
+            return check_status(status);
         }
         let path = format!("/objects/{}/{}", T::KIND, spec.name());
         let (status, _) = self.call(Method::PUT, &path, encode(spec, None)?, CALL_TIMEOUT).await?;
-        done(status)
+        check_status(status)
     }
 
-    async fn create<T: Kept>(&self, spec: &T) -> Result<StatusCode, StoreFailure> {
+    async fn create<T: StoreObject>(&self, spec: &T) -> Result<StatusCode, StoreFailure> {
         let kind = format!("/objects/{}", T::KIND);
         Ok(self.call(Method::POST, &kind, encode(spec, None)?, CALL_TIMEOUT).await?.0)
     }
 
-    async fn remove<T: Kept>(&self, name: &str) -> Result<(), StoreFailure> {
+    async fn remove<T: StoreObject>(&self, name: &str) -> Result<(), StoreFailure> {
         let path = format!("/objects/{}/{name}", T::KIND);
         let (status, _) = self.call(Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await?;
-        if status == StatusCode::NOT_FOUND { Ok(()) } else { done(status) }
+        if status == StatusCode::NOT_FOUND { Ok(()) } else { check_status(status) }
     }
 }
 
 /// Encodes an object; a change is made only while `revision` is the object's, if that is given.
-fn encode<T: Kept>(spec: &T, revision: Option<Revision>) -> Result<Bytes, StoreFailure> {
+fn encode<T: StoreObject>(spec: &T, revision: Option<Revision>) -> Result<Bytes, StoreFailure> {
     let object = NewObject { metadata: NewMetadata { name: &spec.name(), revision }, spec };
     Ok(Bytes::from(serde_json::to_vec(&object)?))
 }
 
-fn begun(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<TrialClaim, StoreFailure> {
+fn claim_result(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<TrialClaim, StoreFailure> {
     if status == StatusCode::CONFLICT {
         Ok(TrialClaim::ClaimedByOther(known))
     } else {
-        done(status).map(|()| TrialClaim::Claimed(next))
+        check_status(status).map(|()| TrialClaim::Claimed(next))
     }
 }
 
 /// Decodes an object, which must be under the name of what it tells of.
-fn decode<T: Kept>(raw: &str) -> Result<T, SkippedObject> {
+fn decode_object<T: StoreObject>(raw: &str) -> Result<T, SkippedObject> {
     let skipped = |name: &str, why: String| SkippedObject { name: name.into(), reason: why.into() };
     let object: Object<'_> = serde_json::from_str(raw).map_err(|it| skipped("", it.to_string()))?;
     let name = &object.metadata.name;
@@ -270,6 +270,6 @@
     Ok(spec)
 }
 
-fn done(status: StatusCode) -> Result<(), StoreFailure> {
+fn check_status(status: StatusCode) -> Result<(), StoreFailure> {
     if status.is_success() { Ok(()) } else { Err(StoreFailure::Refused(status.as_u16())) }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -46,16 +46,16 @@
 
 /// The configuration with the store's revision at which it was read.
 #[derive(Debug)]
-pub struct ConfigObject {
+pub struct ConfigSnapshot {
     /// The configuration, or why it can't be used; `None` before the operator's first.
     pub config: Option<Result<ParsedConfig, serde_json::Error>>,
     /// Where a watch goes on.
-    pub position: Position,
+    pub position: WatchPosition,
 }
 
 /// A revision, which means something in its era only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Position {
+pub struct WatchPosition {
     /// The revision.
     pub revision: u64,
     /// Its era.
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub enum WatchEnd {
     /// Time passed, or the configuration changed.
-    Went(ConfigObject),
+    Completed(ConfigSnapshot),
     /// The history is gone: read anew.
     HistoryGone,
 }
@@ -161,13 +161,13 @@
     }
 
     /// Waits until the store has been restored from a backup: what was written since that may be gone.
-    pub async fn restored(&self) {
+    pub async fn wait_for_restore(&self) {
         self.restored.notified().await;
     }
 
     /// A position at the revision of an answer that has just come.
-    fn position(&self, revision: Revision) -> Position {
-        Position { revision, era: self.era.get().unwrap_or_default() }
+    fn position(&self, revision: Revision) -> WatchPosition {
+        WatchPosition { revision, era: self.era.get().unwrap_or_default() }
     }
 
     /// Reads the configuration. Listing its kind tells the store's revision, from which a watch can
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn config(&self, consistency: Consistency) -> Result<ConfigObject, StoreFailure> {
+    pub async fn read_config(&self, consistency: Consistency) -> Result<ConfigSnapshot, StoreFailure> {
         let path = format!("/objects/{CONFIG_KIND}?{}", consistency.query());
         let (status, body) = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
         if status != StatusCode::OK {
@@ -186,7 +186,7 @@
         let page: Page<'_> = serde_json::from_str(&text)?;
         let mut objects = page.items.iter().filter_map(|it| serde_json::from_str::<Object<'_>>(it.get()).ok());
         let ours = objects.find(|it| &*it.metadata.name == CONFIG_NAME);
-        Ok(ConfigObject { config: ours.map(|it| parse_config(it.spec.get())), position: self.position(page.at_rev) })
+        Ok(ConfigSnapshot { config: ours.map(|it| parse_config(it.spec.get())), position: self.position(page.at_rev) })
     }
 
     /// Waits for the configuration to change after `from`. If the store was restored from a backup meanwhile, its history is
@@ -195,7 +195,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn watch_config(&self, from: Position, watch: StoreWatch) -> Result<WatchEnd, StoreFailure> {
+    pub async fn watch_config(&self, from: WatchPosition, watch: StoreWatch) -> Result<WatchEnd, StoreFailure> {
         let path = format!("/objects/{CONFIG_KIND}?watch={}&wait_ms={}", from.revision, watch.wait.as_millis());
         let (status, body) = self.call(Method::GET, &path, Bytes::new(), watch.timeout).await?;
         if from.era != self.era.get().unwrap_or_default() {
@@ -212,7 +212,7 @@
         let ours = |it: &Event<'_>| !it.is_deleted && &*it.object.metadata.name == CONFIG_NAME;
         let newest = decoded.rev().find(ours);
         let config = newest.map(|it| parse_config(it.object.spec.get()));
-        Ok(WatchEnd::Went(ConfigObject { config, position: self.position(events.at_rev) }))
+        Ok(WatchEnd::Completed(ConfigSnapshot { config, position: self.position(events.at_rev) }))
     }
 
     pub(super) async fn call(
--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     decide::watchers::{self, StoreWatch},
-    platform::{ConfigObject, Consistency, Position, WatchEnd},
+    platform::{ConfigSnapshot, Consistency, WatchEnd, WatchPosition},
     proxy::{Proxy, backoff::Backoff, clock, events::Event, message::path, peer_link::Link},
 };
 
@@ -50,7 +50,7 @@
     /// Reads the configuration once at the start, at a tenth of the price: whoever has a newer one says so. Where a whole fleet
     /// starts at once nobody has one.
     pub(super) async fn read_initial_config(self: Rc<Self>) {
-        match self.store.config(Consistency::Stale).await {
+        match self.store.read_config(Consistency::Stale).await {
             Ok(it) => _ = self.take_config(it),
             Err(error) => log::debug!("no first configuration: {error}"),
         }
@@ -93,7 +93,7 @@
         let mut backoff = Backoff::new(self);
         while self.watches(start) {
             let asked = clock::now();
-            let object = match self.store.config(Consistency::Linearizable).await {
+            let object = match self.store.read_config(Consistency::Linearizable).await {
                 Ok(it) => it,
                 Err(error) => {
                     self.lost_store();
@@ -108,7 +108,7 @@
             while self.watches(start) {
                 let watch = StoreWatch::with_jitter(rand::rng().random());
                 match self.store.watch_config(position, watch).await {
-                    Ok(WatchEnd::Went(object)) => {
+                    Ok(WatchEnd::Completed(object)) => {
                         backoff.record_answer();
                         self.regained_store();
                         let changed = object.config.is_some();
@@ -172,7 +172,7 @@
         true
     }
 
-    fn take_config(&self, object: ConfigObject) -> Position {
+    fn take_config(&self, object: ConfigSnapshot) -> WatchPosition {
         match object.config {
             Some(Ok(it)) => self.activate_config(it, "store"),
             Some(Err(error)) => {
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -45,7 +45,7 @@
     /// Writes what this proxy had written again, each time the store has been restored from a backup.
     pub(super) async fn republish_after_restore(self: Rc<Self>) {
         loop {
-            self.store.restored().await;
+            self.store.wait_for_restore().await;
             // A whole fleet hears of it within a few seconds.
             sleep(WRITE_AGAIN.mul_f64(rand::rng().random_range(0.0..1.0))).await;
             let presence = self.presence();
--- a/tests/store_listing.rs
+++ b/tests/store_listing.rs
@@ -8,7 +8,7 @@
 
 use jayreach::{
     decide::watchers::StoreWatch,
-    platform::{Consistency, Listing, Position, PresenceObject, Store, WatchEnd},
+    platform::{Consistency, Listing, PresenceObject, Store, WatchEnd, WatchPosition},
 };
 use tokio::task::LocalSet;
 
@@ -73,7 +73,7 @@
             {\"metadata\":{\"name\":\"main\"},\"spec\":{\"version\":\"0000000c\",\"routes\":{}}}],\"at_rev\":9}",
     );
 
-    let object = run(store.config(Consistency::Linearizable)).expect("a listing");
+    let object = run(store.read_config(Consistency::Linearizable)).expect("a listing");
 
     let config = object.config.expect("it is there").expect("it is a configuration").config;
     assert_eq!((config.version, object.position.revision), (12, 9));
@@ -86,8 +86,9 @@
             {\"object\":{\"metadata\":{\"name\":\"main\"},\"spec\":{\"version\":\"zz\"}},\"is_deleted\":false}],\"at_rev\":11}",
     );
 
-    let end = run(store.watch_config(Position { revision: 9, era: 0 }, StoreWatch::with_jitter(0.0))).expect("events");
+    let end =
+        run(store.watch_config(WatchPosition { revision: 9, era: 0 }, StoreWatch::with_jitter(0.0))).expect("events");
 
-    let WatchEnd::Went(object) = end else { panic!("the history is there") };
+    let WatchEnd::Completed(object) = end else { panic!("the history is there") };
     assert_eq!((object.position.revision, object.config.map(|it| it.is_err())), (11, Some(true)));
 }
