--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -32,22 +32,24 @@
     /// Which request.
     pub fingerprint: Fingerprint,
     /// What is known against it.
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
     /// The proxy that wrote this.
-    pub by: ProxyName,
+    #[serde(rename = "by")]
+    pub written_by: ProxyName,
 }
 
 /// Whose a trial is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trial {
+pub enum TrialClaim {
     /// The asking proxy's; the case with it.
-    Begun(CrashRecord),
+    Claimed(CrashRecord),
     /// Another proxy's; the case as far as known.
-    Another(CrashRecord),
+    ClaimedByOther(CrashRecord),
 }
 
 /// An object of a kind of ours.
-trait Kept: Serialize + DeserializeOwned {
+trait StoreObject: Serialize + DeserializeOwned {
     /// The kind.
     const KIND: &'static str;
 
@@ -55,7 +57,7 @@
     fn name(&self) -> Box<str>;
 }
 
-impl Kept for PresenceObject {
+impl StoreObject for PresenceObject {
     const KIND: &'static str = "jayreach-proxies";
 
     fn name(&self) -> Box<str> {
@@ -63,7 +65,7 @@
     }
 }
 
-impl Kept for QuarantineObject {
+impl StoreObject for QuarantineObject {
     const KIND: &'static str = "jayreach-quarantine";
 
     fn name(&self) -> Box<str> {
@@ -86,7 +88,7 @@
     /// Its name; empty if that can't be read.
     pub name: Box<str>,
     /// What is wrong with it.
-    pub why: Box<str>,
+    pub reason: Box<str>,
 }
 
 #[derive(Serialize)]
@@ -109,7 +111,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn presences(&self, consistency: Consistency) -> Result<Listing<PresenceObject>, StoreFailure> {
+    pub async fn list_presences(&self, consistency: Consistency) -> Result<Listing<PresenceObject>, StoreFailure> {
         self.list(consistency).await
     }
 
@@ -136,7 +138,7 @@
     /// # Errors
     ///
     /// See [`StoreFailure`].
-    pub async fn quarantined(&self, consistency: Consistency) -> Result<Listing<QuarantineObject>, StoreFailure> {
+    pub async fn list_quarantined(&self, consistency: Consistency) -> Result<Listing<QuarantineObject>, StoreFailure> {
         self.list(consistency).await
     }
 
@@ -147,7 +149,7 @@
     /// See [`StoreFailure`].
     pub async fn add_quarantined(&self, quarantined: &QuarantineObject) -> Result<(), StoreFailure> {
         let status = self.create(quarantined).await?;
-        if status == StatusCode::CONFLICT { Ok(()) } else { done(status) }
+        if status == StatusCode::CONFLICT { Ok(()) } else { check_status(status) }
     }
 
     /// Begins a trial of a request that is held back, in the name of one proxy only: as long as the object there is of as
@@ -156,14 +158,14 @@
     /// # Errors
     ///
     /// See [`StoreFailure`]; then the trial may count as begun, and must not be made.
-    pub async fn begin_trial(&self, known: &QuarantineObject) -> Result<Trial, StoreFailure> {
+    pub async fn claim_trial(&self, known: &QuarantineObject) -> Result<TrialClaim, StoreFailure> {
         let name = known.name();
         let path = format!("/objects/{}/{name}", QuarantineObject::KIND);
         let (status, body) = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
-        let next = QuarantineObject { case: known.case.with_trial(), ..known.clone() };
+        let next = QuarantineObject { crash_record: known.crash_record.with_trial(), ..known.clone() };
         if status == StatusCode::NOT_FOUND {
             let status = self.create(&next).await?;
-            return begun(status, next.case, known.case);
+            return claim_result(status, next.crash_record, known.crash_record);
         }
         if status != StatusCode::OK {
             return Err(StoreFailure::Refused(status.as_u16()));
@@ -171,12 +173,12 @@
         let text = text(&body);
         let object: Object<'_> = serde_json::from_str(&text)?;
         let stored: QuarantineObject = serde_json::from_str(object.spec.get())?;
-        if stored.case.trials() != known.case.trials() {
-            return Ok(Trial::Another(stored.case));
+        if stored.crash_record.trials() != known.crash_record.trials() {
+            return Ok(TrialClaim::ClaimedByOther(stored.crash_record));
         }
         let body = encode(&next, Some(object.metadata.revision))?;
         let (status, _) = self.call(Method::PUT, &path, body, CALL_TIMEOUT).await?;
-        begun(status, next.case, known.case)
+        claim_result(status, next.crash_record, known.crash_record)
     }
 
     /// Says that a request is no longer held back.
@@ -188,7 +190,7 @@
         self.remove::<QuarantineObject>(&fingerprint.to_string()).await
     }
 
-    async fn list<T: Kept>(&self, consistency: Consistency) -> Result<Listing<T>, StoreFailure> {
+    async fn list<T: StoreObject>(&self, consistency: Consistency) -> Result<Listing<T>, StoreFailure> {
         let mut list = Listing { objects: Vec::new(), skipped: Vec::new() };
         let mut after: Option<Box<str>> = None;
         loop {
@@ -202,7 +204,7 @@
             let page: Page<'_> = serde_json::from_str(&text)?;
             let mut last = None;
             for it in &page.items {
-                match decode::<T>(it.get()) {
+                match decode_object::<T>(it.get()) {
                     Ok(it) => {
                         last = Some(it.name());
                         list.objects.push(it);
@@ -220,41 +222,45 @@
         }
     }
 
-    async fn put<T: Kept>(&self, spec: &T) -> Result<(), StoreFailure> {
+    async fn put<T: StoreObject>(&self, spec: &T) -> Result<(), StoreFailure> {
         let status = self.create(spec).await?;
         if status != StatusCode::CONFLICT {
-            return done(status);
+            return check_status(status);
         }
         let path = format!("/objects/{}/{}", T::KIND, spec.name());
         let (status, _) = self.call(Method::PUT, &path, encode(spec, None)?, CALL_TIMEOUT).await?;
-        done(status)
+        check_status(status)
     }
 
-    async fn create<T: Kept>(&self, spec: &T) -> Result<StatusCode, StoreFailure> {
+    async fn create<T: StoreObject>(&self, spec: &T) -> Result<StatusCode, StoreFailure> {
         let kind = format!("/objects/{}", T::KIND);
         Ok(self.call(Method::POST, &kind, encode(spec, None)?, CALL_TIMEOUT).await?.0)
     }
 
-    async fn remove<T: Kept>(&self, name: &str) -> Result<(), StoreFailure> {
+    async fn remove<T: StoreObject>(&self, name: &str) -> Result<(), StoreFailure> {
         let path = format!("/objects/{}/{name}", T::KIND);
         let (status, _) = self.call(Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await?;
-        if status == StatusCode::NOT_FOUND { Ok(()) } else { done(status) }
+        if status == StatusCode::NOT_FOUND { Ok(()) } else { check_status(status) }
     }
 }
 
 /// Encodes an object; a change is made only while `revision` is the object's, if that is given.
-fn encode<T: Kept>(spec: &T, revision: Option<Revision>) -> Result<Bytes, StoreFailure> {
+fn encode<T: StoreObject>(spec: &T, revision: Option<Revision>) -> Result<Bytes, StoreFailure> {
     let object = NewObject { metadata: NewMetadata { name: &spec.name(), revision }, spec };
     Ok(Bytes::from(serde_json::to_vec(&object)?))
 }
 
-fn begun(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<Trial, StoreFailure> {
-    if status == StatusCode::CONFLICT { Ok(Trial::Another(known)) } else { done(status).map(|()| Trial::Begun(next)) }
+fn claim_result(status: StatusCode, next: CrashRecord, known: CrashRecord) -> Result<TrialClaim, StoreFailure> {
+    if status == StatusCode::CONFLICT {
+        Ok(TrialClaim::ClaimedByOther(known))
+    } else {
+        check_status(status).map(|()| TrialClaim::Claimed(next))
+    }
 }
 
 /// Decodes an object, which must be under the name of what it tells of.
-fn decode<T: Kept>(raw: &str) -> Result<T, SkippedObject> {
-    let skipped = |name: &str, why: String| SkippedObject { name: name.into(), why: why.into() };
+fn decode_object<T: StoreObject>(raw: &str) -> Result<T, SkippedObject> {
+    let skipped = |name: &str, why: String| SkippedObject { name: name.into(), reason: why.into() };
     let object: Object<'_> = serde_json::from_str(raw).map_err(|it| skipped("", it.to_string()))?;
     let name = &object.metadata.name;
     let spec: T = serde_json::from_str(object.spec.get()).map_err(|it| skipped(name, it.to_string()))?;
@@ -264,6 +270,6 @@
     Ok(spec)
 }
 
-fn done(status: StatusCode) -> Result<(), StoreFailure> {
+fn check_status(status: StatusCode) -> Result<(), StoreFailure> {
     if status.is_success() { Ok(()) } else { Err(StoreFailure::Refused(status.as_u16())) }
 }
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -166,7 +166,7 @@
         let settings = Rc::clone(&self.settings.borrow());
         let config = self.config.borrow().clone();
         let path = config.as_ref().and_then(|it| it.health_path(&settings.service));
-        let health = platform::health(settings.endpoint, path, HEALTH_TIMEOUT).await;
+        let health = platform::probe_health(settings.endpoint, path, HEALTH_TIMEOUT).await;
         let Some((id, slots)) = health else { return };
         self.guard.handle_health_reply(Announcement {
             id: EndpointId { name: id, started_at: None },
@@ -213,12 +213,12 @@
     };
     let now = clock::unix_millis();
     match call {
-        AnnounceCall::Heartbeat(id) => match platform::announced(&id, &body, now) {
+        AnnounceCall::Heartbeat(id) => match platform::parse_heartbeat(&id, &body, now) {
             Ok(it) => proxy.handle_heartbeat(it),
             Err(error) => refuse_announcement(&proxy, &id, &error.to_string()),
         },
         AnnounceCall::Deregister(id) => {
-            proxy.guard.handle_deregistration(platform::deregistered(&id, &body, now));
+            proxy.guard.handle_deregistration(platform::parse_deregistration(&id, &body, now));
             json_response(StatusCode::OK, "{}")
         }
     }
--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -148,7 +148,7 @@
         *out.method_mut() = req.head.method().clone();
         *out.uri_mut() = req.head.uri().clone();
         *out.headers_mut() = req.head.headers().clone();
-        platform::set_instance(out.headers_mut(), &req.instance_id);
+        platform::set_expected_instance(out.headers_mut(), &req.instance_id);
         platform::set_deadline(out.headers_mut(), req.time_left);
         if !out.headers().contains_key(HOST) {
             let host = self.address.to_string().parse().expect("a socket address is a valid header value");
@@ -186,7 +186,7 @@
             return RunEnd::NotRun(NotRunReason::Declined);
         }
         // Requests don't accept content codings, so a coded body doesn't come from the endpoint.
-        if !platform::is_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
+        if !platform::has_response_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
             return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
         self.put_idle(connection, &head.headers);
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -16,7 +16,7 @@
         fingerprint::Fingerprint,
         quarantine::{CrashRecord, CrashRecordUpdate},
     },
-    platform::{Consistency, QuarantineObject, StoreFailure, Trial},
+    platform::{Consistency, QuarantineObject, StoreFailure, TrialClaim},
     proxy::{
         Proxy,
         backoff::Backoff,
@@ -89,13 +89,13 @@
 
     /// Merges the quarantined requests of a stale read of the store.
     async fn read_quarantine(&self) -> Result<(), StoreFailure> {
-        let list = self.store.quarantined(Consistency::Stale).await?;
+        let list = self.store.list_quarantined(Consistency::Stale).await?;
         for it in &list.skipped {
-            self.report_skipped_entry("store", &it.name, &it.why);
+            self.report_skipped_entry("store", &it.name, &it.reason);
         }
         let updates = list.objects.iter().map(|it| CrashRecordUpdate {
             fingerprint: it.fingerprint,
-            record: it.case,
+            record: it.crash_record,
             age: Duration::ZERO,
         });
         self.guard.merge_cases(&updates.collect::<Vec<_>>(), CaseSource::Store);
@@ -118,7 +118,7 @@
         loop {
             let record = self.guard.case(fingerprint);
             let result = if record.is_quarantined() {
-                let object = QuarantineObject { fingerprint, case: record, by: self.name.clone() };
+                let object = QuarantineObject { fingerprint, crash_record: record, written_by: self.name.clone() };
                 self.store.add_quarantined(&object).await
             } else if record.is_cleared() {
                 self.store.remove_quarantined(fingerprint).await
@@ -141,13 +141,14 @@
         }
         // Requests with the same fingerprint that arrive in the meantime are refused.
         self.guard.postpone_trial(fingerprint);
-        let object = QuarantineObject { fingerprint, case: self.guard.case(fingerprint), by: self.name.clone() };
-        match timeout(TRIAL_TIMEOUT, self.store.begin_trial(&object)).await {
-            Ok(Ok(Trial::Begun(record))) => {
+        let object =
+            QuarantineObject { fingerprint, crash_record: self.guard.case(fingerprint), written_by: self.name.clone() };
+        match timeout(TRIAL_TIMEOUT, self.store.claim_trial(&object)).await {
+            Ok(Ok(TrialClaim::Claimed(record))) => {
                 self.merge_trial_record(fingerprint, record);
                 true
             }
-            Ok(Ok(Trial::Another(record))) => {
+            Ok(Ok(TrialClaim::ClaimedByOther(record))) => {
                 self.merge_trial_record(fingerprint, record);
                 false
             }
