--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     cmd::{Run, args, ask_daemon, print_json, read_targets},
-    daemon::InForceCount,
+    daemon::RolloutStatus,
     error::Error,
     store::{Applied, StoreClient, apply},
     targets::{Difference, Version},
@@ -26,7 +26,7 @@
     version: Version,
     changed: bool,
     differences: Vec<Difference>,
-    in_force: Option<InForceCount>,
+    in_force: Option<RolloutStatus>,
 }
 
 impl Run for args::Apply {
@@ -86,12 +86,12 @@
 }
 
 /// Waits until no daemon that can be asked is behind.
-fn wait(daemon: SocketAddr, version: Version, deadline: Instant, quiet: bool) -> Result<InForceCount, Error> {
+fn wait(daemon: SocketAddr, version: Version, deadline: Instant, quiet: bool) -> Result<RolloutStatus, Error> {
     let started = Instant::now();
     loop {
         let count = ask(daemon, version)?;
-        let InForceCount { daemons, in_force, .. } = count;
-        if in_force == daemons {
+        let RolloutStatus { daemons, active, .. } = count;
+        if active == daemons {
             if !quiet {
                 println!("in force in all {daemons} daemons after {:.1} s", started.elapsed().as_secs_f64());
             }
@@ -100,9 +100,9 @@
         if Instant::now() >= deadline {
             let list = |names: &[Box<str>]| names.join(", ");
             let message = format!(
-                "version {version} is accepted, and in force in {in_force} of {daemons} daemons; behind: {}; silent: {}",
-                list(&count.behind),
-                list(&count.silent)
+                "version {version} is accepted, and in force in {active} of {daemons} daemons; behind: {}; silent: {}",
+                list(&count.outdated),
+                list(&count.unreachable)
             );
             return Err(Error::TimedOut(message.into()));
         }
@@ -110,7 +110,7 @@
     }
 }
 
-fn ask(daemon: SocketAddr, version: Version) -> Result<InForceCount, Error> {
+fn ask(daemon: SocketAddr, version: Version) -> Result<RolloutStatus, Error> {
     let address = daemon.to_string();
     let bytes = ask_daemon(&address, Method::GET, &format!("/in-force?version={version}"))?;
     serde_json::from_slice(&bytes)
--- a/src/daemon/callers.rs
+++ b/src/daemon/caller_api.rs
@@ -11,8 +11,8 @@
 use crate::{
     daemon::{
         Daemon,
-        config::Config,
-        http::{BodyError, Request, path, query, respond, respond_json},
+        active_config::Config,
+        http_server::{BodyError, Request, path, query, respond, respond_json},
         ingress::Order,
     },
     targets::{Class, Found},
--- a/src/daemon/watcher.rs
+++ b/src/daemon/config_watch.rs
@@ -16,7 +16,7 @@
 use crate::{
     daemon::{
         Daemon,
-        client::Connection,
+        http_client::Connection,
         peers::{CONTROL_TIMEOUT, GotParts, PeerCall, WantParts},
         phase::PhaseEvent,
     },
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -5,7 +5,7 @@
 use ureq::http::Request;
 
 use crate::{
-    daemon::client::{Client, Connection, Reply},
+    daemon::http_client::{Client, Connection, Reply},
     decide::Sample,
     ticket::Silence,
     wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
--- a/src/daemon/spread.rs
+++ b/src/daemon/gossip.rs
@@ -12,7 +12,7 @@
 use crate::{
     daemon::{
         Daemon,
-        client::Connection,
+        http_client::Connection,
         peers::{CONTROL_TIMEOUT, PeerCall},
     },
     rows::{Push, Row},
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    daemon::{client::Client, endpoint},
+    daemon::{endpoint, http_client::Client},
     decide::{
         AdmissionController, AdmissionDecision, AdmissionRequest, EjectionConfig, EndpointEvent, EndpointHealth,
         Sample, WaiterDecision, WaiterId, failure_level,
--- a/src/daemon/client.rs
+++ b/src/daemon/http_client.rs
@@ -10,7 +10,7 @@
     http::{Request, Response},
 };
 
-use crate::{daemon::http::BODY_LIMIT, ticket::Silence, wire::Header};
+use crate::{daemon::http_server::BODY_LIMIT, ticket::Silence, wire::Header};
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -15,9 +15,9 @@
 use crate::{
     daemon::{
         Daemon,
-        client::Connection,
+        endpoint_view::{Guard, Target},
+        http_client::Connection,
         peers::{PeerCall, address_of},
-        view::{Guard, Target},
     },
     targets::Importance,
     ticket::{Begin, GuardRef, Silence, Verdict, judge_reply, judge_revoke, judge_silence},
--- a/src/daemon/local.rs
+++ b/src/daemon/local_api.rs
@@ -8,10 +8,10 @@
 use crate::{
     daemon::{
         Announcement, Daemon,
-        client::Connection,
-        http::{Request, path, respond, respond_json},
+        endpoint_view::ServiceCount,
+        http_client::Connection,
+        http_server::{Request, path, respond, respond_json},
         peers::{CONTROL_TIMEOUT, PeerCall},
-        view::ServiceCount,
     },
     rows::EndpointRow,
     util::lock,
@@ -44,15 +44,18 @@
 
 /// Where a version is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForceCount {
+pub struct RolloutStatus {
     /// How many daemons were asked.
     pub daemons: usize,
     /// How many have the version, or a later one, in force.
-    pub in_force: usize,
+    #[serde(rename = "in_force")]
+    pub active: usize,
     /// The daemons that have an earlier one.
-    pub behind: Vec<Box<str>>,
+    #[serde(rename = "behind")]
+    pub outdated: Vec<Box<str>>,
     /// The daemons that did not answer.
-    pub silent: Vec<Box<str>>,
+    #[serde(rename = "silent")]
+    pub unreachable: Vec<Box<str>>,
 }
 
 /// Takes a request of an endpoint or an operator.
@@ -126,11 +129,12 @@
 
 /// Asks every daemon which version it has in force.
 fn in_force(daemon: &Daemon, req: Request, target: &str) {
-    let Some(version) = super::http::query(target, "version").and_then(|it| it.parse().ok()) else {
+    let Some(version) = super::http_server::query(target, "version").and_then(|it| it.parse().ok()) else {
         return refuse(req, "`version` must be a number".into());
     };
     let peers: Vec<_> = lock(&daemon.table).live().filter(|it| !it.leaving).cloned().collect();
-    let mut count = InForceCount { daemons: peers.len() + 1, in_force: 0, behind: Vec::new(), silent: Vec::new() };
+    let mut count =
+        RolloutStatus { daemons: peers.len() + 1, active: 0, outdated: Vec::new(), unreachable: Vec::new() };
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
         let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
@@ -140,12 +144,12 @@
     respond_json(req, 200, &count);
 }
 
-impl InForceCount {
+impl RolloutStatus {
     fn add(&mut self, daemon: &str, has: Option<u64>, version: u64) {
         match has {
-            Some(it) if it >= version => self.in_force += 1,
-            Some(_) => self.behind.push(daemon.into()),
-            None => self.silent.push(daemon.into()),
+            Some(it) if it >= version => self.active += 1,
+            Some(_) => self.outdated.push(daemon.into()),
+            None => self.unreachable.push(daemon.into()),
         }
     }
 }
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -12,7 +12,7 @@
 use crate::{
     daemon::{
         Daemon,
-        client::Connection,
+        http_client::Connection,
         peers::{CONTROL_TIMEOUT, PeerCall, Probe, Probed},
     },
     rows::{Compare, Compared, Deliver, Delivered, Row, Stamp},
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -2,22 +2,22 @@
 //!
 //! Locks are held one at a time, but for the table's, under which the view is brought up to date.
 
-mod callers;
-mod client;
-mod config;
-mod desk;
+mod active_config;
+mod caller_api;
+mod config_watch;
 mod endpoint;
+mod endpoint_view;
+mod gossip;
 mod guard;
-mod http;
+mod http_client;
+mod http_server;
 mod ingress;
-mod local;
+mod issued_tickets;
+mod local_api;
 mod membership;
 mod peers;
 mod phase;
-mod pool;
-mod spread;
-mod view;
-mod watcher;
+mod thread_pool;
 
 use std::{
     collections::BTreeMap,
@@ -37,19 +37,19 @@
 };
 
 pub use guard::{AnnouncedState, Announcement};
-pub use local::InForceCount;
+pub use local_api::RolloutStatus;
 
 use crate::{
     daemon::{
-        client::Client,
-        config::ConfigCell,
-        desk::HomeDesk,
+        active_config::ConfigCell,
+        endpoint_view::View,
         guard::{GuardDesk, Hooks, Measure},
-        http::{Listener, Request},
+        http_client::Client,
+        http_server::{Listener, Request},
+        issued_tickets::HomeDesk,
         peers::Peers,
         phase::{Phase, PhaseCell, PhaseEvent},
-        pool::Pool,
-        view::View,
+        thread_pool::Pool,
     },
     decide::ClassRetryBudget,
     error::Error,
@@ -148,12 +148,12 @@
     let (tx, rx) = crossbeam::channel::unbounded();
     let daemon = Arc::new(Daemon::new(settings, tx)?);
     serve("peers", &daemon, peers, peers::accept);
-    serve("local", &daemon, local, local::accept);
-    serve("callers", &daemon, callers, callers::accept);
-    spawn("spread", &daemon, move |it| spread::run(it, &rx));
+    serve("local", &daemon, local, local_api::accept);
+    serve("callers", &daemon, callers, caller_api::accept);
+    spawn("spread", &daemon, move |it| gossip::run(it, &rx));
     spawn("membership", &daemon, membership::run);
-    spawn("watcher", &daemon, watcher::run);
-    spawn("presence", &daemon, watcher::announce);
+    spawn("watcher", &daemon, config_watch::run);
+    spawn("presence", &daemon, config_watch::announce);
     spawn("tick", &daemon, tick);
     spawn("records", &daemon, records);
     log::info!(daemon = &*daemon.settings.name, incarnation = daemon.incarnation; "started");
@@ -210,7 +210,7 @@
     }
     daemon.phase.on(PhaseEvent::Drained);
     thread::sleep(LINGER);
-    watcher::withdraw(daemon);
+    config_watch::withdraw(daemon);
     daemon.phase.on(PhaseEvent::AnswersFetched);
     log::info!(in_flight = daemon.in_flight(); "stopped");
 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -10,9 +10,9 @@
 use crate::{
     daemon::{
         Daemon,
-        client::{Client, Connection},
-        config::Config,
-        http::{Request, path, respond},
+        active_config::Config,
+        http_client::{Client, Connection},
+        http_server::{Request, path, respond},
     },
     rows::{Compare, Compared, DaemonId, Deliver, Delivered, Push},
     targets::{Importance, PartRef},
--- a/src/daemon/pool.rs
+++ b/src/daemon/thread_pool.rs
@@ -11,7 +11,7 @@
 
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
-use crate::{daemon::http::Request, util::lock};
+use crate::{daemon::http_server::Request, util::lock};
 
 /// A piece of work.
 pub(crate) type Job = Box<dyn FnOnce() + Send>;
