--- a/src/proxy/guard/announcements.rs
+++ b/src/proxy/guard/announcements.rs
@@ -1,8 +1,10 @@
-//! Which endpoint is beside this proxy, and whether it takes work.
+//! Tracks which incarnation of an endpoint runs on this VM and whether it accepts requests.
+//!
+//! Late announcements of a former incarnation must not replace the current one, and a silent endpoint must not get requests.
 
 use std::{rc::Rc, time::Instant};
 
-use super::{Announcement, AnnouncementEffect, Endpoint, EndpointPhase, Guard, State};
+use super::{Announcement, AnnouncementEffect, Endpoint, EndpointPhase, Guard, GuardState};
 use crate::{
     decide::{
         incarnation::{self, AnnouncementClass, DEAD_AFTER_HEARTBEATS, EndpointId, KnownIncarnation, is_retired},
@@ -16,86 +18,86 @@
     },
 };
 
-/// How many former lives are remembered, for announcements that come late.
-const RETIRED_KEPT: usize = 64;
+/// How many former incarnations are remembered to recognise their late announcements.
+const MAX_RETIRED: usize = 64;
 
 impl Guard {
-    /// Takes in an announcement.
+    /// Handles an announcement of an endpoint.
     pub fn handle_announcement(self: &Rc<Self>, it: Announcement) -> AnnouncementEffect {
-        let verdict = self.judge(&it);
-        match verdict {
+        let class = self.classify(&it);
+        match class {
             AnnouncementClass::Stale => AnnouncementEffect::Unchanged,
-            AnnouncementClass::Update => self.heard_again(&it),
+            AnnouncementClass::Update => self.apply_update(&it),
             AnnouncementClass::NewIncarnation => {
-                self.replace(it, "announced");
+                self.replace_endpoint(it, "announced");
                 AnnouncementEffect::Changed
             }
             AnnouncementClass::Unconfirmed => {
                 if it.phase == EndpointPhase::Leaving {
-                    retire(&mut self.state.borrow_mut(), it.id);
+                    retire_incarnation(&mut self.state.borrow_mut(), it.id);
                 }
                 AnnouncementEffect::Conflicting
             }
         }
     }
 
-    fn judge(&self, it: &Announcement) -> AnnouncementClass {
+    fn classify(&self, it: &Announcement) -> AnnouncementClass {
         let state = self.state.borrow();
         let known = state.endpoint.as_ref().map(|known| KnownIncarnation {
-            id: &known.announced.id,
-            sequence: known.announced.sequence,
-            accepts_work: known.announced.phase == EndpointPhase::Serving,
-            missed_heartbeats: self.silent_beats(known),
+            id: &known.announcement.id,
+            sequence: known.announcement.sequence,
+            accepts_work: known.announcement.phase == EndpointPhase::Serving,
+            missed_heartbeats: self.missed_heartbeats(known),
         });
         incarnation::classify_announcement(known, &state.retired, &it.id, it.sequence)
     }
 
-    fn silent_beats(&self, endpoint: &Endpoint) -> f64 {
-        let silent = clock::now().saturating_duration_since(endpoint.heard);
-        silent.as_secs_f64() / self.announce_every.as_secs_f64()
+    fn missed_heartbeats(&self, endpoint: &Endpoint) -> f64 {
+        let silent = clock::now().saturating_duration_since(endpoint.last_seen);
+        silent.as_secs_f64() / self.announce_interval.as_secs_f64()
     }
 
-    /// The known life of the endpoint announced itself once more.
-    fn heard_again(self: &Rc<Self>, it: &Announcement) -> AnnouncementEffect {
+    /// Applies a newer announcement of the current incarnation.
+    fn apply_update(self: &Rc<Self>, it: &Announcement) -> AnnouncementEffect {
         let mut state = self.state.borrow_mut();
         let Some(known) = &mut state.endpoint else { return AnnouncementEffect::Unchanged };
-        known.heard = clock::now();
-        known.announced.sequence = it.sequence;
-        known.announced.slots = it.slots;
-        let says_its_start = known.announced.id.started_at.is_none() && it.id.started_at.is_some();
-        if says_its_start {
-            known.announced.id = it.id.clone();
+        known.last_seen = clock::now();
+        known.announcement.sequence = it.sequence;
+        known.announcement.slots = it.slots;
+        let start_time_added = known.announcement.id.started_at.is_none() && it.id.started_at.is_some();
+        if start_time_added {
+            known.announcement.id = it.id.clone();
         }
-        let leaves = it.phase == EndpointPhase::Leaving && known.announced.phase == EndpointPhase::Serving;
-        let id = known.announced.id.clone();
+        let starts_leaving = it.phase == EndpointPhase::Leaving && known.announcement.phase == EndpointPhase::Serving;
+        let id = known.announcement.id.clone();
         drop(state);
-        if leaves {
+        if starts_leaving {
             self.mark_leaving(&id, "announced");
             return AnnouncementEffect::Changed;
         }
-        if says_its_start {
+        if start_time_added {
             self.row_changed.notify_one();
         }
         AnnouncementEffect::Unchanged
     }
 
-    /// Takes in what the endpoint's address answered to a health question, which does not tell its life.
+    /// Handles a successful health check of the endpoint's address. The reply names the endpoint but not its incarnation.
     pub fn handle_health_reply(self: &Rc<Self>, it: Announcement) {
         let mut state = self.state.borrow_mut();
         if let Some(known) = &mut state.endpoint
-            && known.announced.id.name == it.id.name
+            && known.announcement.id.name == it.id.name
         {
-            known.heard = clock::now();
+            known.last_seen = clock::now();
             return;
         }
         if is_retired(&state.retired, &it.id) {
             return;
         }
         drop(state);
-        self.replace(it, "found by health");
+        self.replace_endpoint(it, "found by health check");
     }
 
-    fn replace(self: &Rc<Self>, it: Announcement, why: &str) {
+    fn replace_endpoint(self: &Rc<Self>, it: Announcement, why: &str) {
         let now = clock::now();
         self.events.emit(&Event::Endpoint {
             id: &it.id.name,
@@ -107,11 +109,17 @@
         });
         let mut state = self.state.borrow_mut();
         let pool = Rc::new(EndpointPool::new(it.address));
-        let cold_until = now + it.warmup_left;
-        let next = Endpoint { announced: it, pool, record: StandingTracker::default(), heard: now, cold_until };
-        if let Some(before) = state.endpoint.replace(next) {
-            retire(&mut state, before.announced.id);
-            if let Ok(pool) = Rc::try_unwrap(before.pool) {
+        let warmup_until = now + it.warmup_left;
+        let next = Endpoint {
+            announcement: it,
+            pool,
+            standing_tracker: StandingTracker::default(),
+            last_seen: now,
+            warmup_until,
+        };
+        if let Some(previous) = state.endpoint.replace(next) {
+            retire_incarnation(&mut state, previous.announcement.id);
+            if let Ok(pool) = Rc::try_unwrap(previous.pool) {
                 pool.close();
             }
         }
@@ -120,84 +128,86 @@
         self.issue_grants();
     }
 
-    /// The endpoint `name` says that it is gone, in the life that began at `born` if it says so.
-    pub fn handle_deregistration(self: &Rc<Self>, told: EndpointId) {
-        let known = self.state.borrow().endpoint.as_ref().map(|it| it.announced.id.clone());
+    /// Handles the deregistration of an endpoint. Without a start time it applies to any incarnation under that name.
+    pub fn handle_deregistration(self: &Rc<Self>, id: EndpointId) {
+        let known = self.state.borrow().endpoint.as_ref().map(|it| it.announcement.id.clone());
         match known {
-            // What a later life says ends an earlier one as well.
-            Some(it) if it.name == told.name && (told.started_at.is_none() || told.started_at >= it.started_at) => {
+            // The deregistration of a later incarnation also ends an earlier one.
+            Some(it) if it.name == id.name && (id.started_at.is_none() || id.started_at >= it.started_at) => {
                 self.mark_leaving(&it, "deregistered");
-                retire(&mut self.state.borrow_mut(), told);
+                retire_incarnation(&mut self.state.borrow_mut(), id);
             }
-            Some(_) | None => self.mark_leaving(&told, "deregistered"),
+            Some(_) | None => self.mark_leaving(&id, "deregistered"),
         }
     }
 
-    /// The endpoint `id` leaves: from now on it gets no new work.
+    /// Marks the endpoint `id` as leaving: it gets no new requests, and its unused grants are revoked.
     pub fn mark_leaving(self: &Rc<Self>, id: &EndpointId, why: &str) {
         let mut state = self.state.borrow_mut();
         match &mut state.endpoint {
-            Some(known) if known.announced.id == *id => {
-                known.announced.phase = EndpointPhase::Leaving;
+            Some(known) if known.announcement.id == *id => {
+                known.announcement.phase = EndpointPhase::Leaving;
                 self.events.emit(&Event::Endpoint {
                     id: &id.name,
                     born: id.started_at,
-                    service: &known.announced.service,
+                    service: &known.announcement.service,
                     phase: EndpointPhase::Leaving.name(),
-                    sequence: known.announced.sequence,
+                    sequence: known.announcement.sequence,
                     why,
                 });
             }
-            Some(_) | None => retire(&mut state, id.clone()),
+            Some(_) | None => retire_incarnation(&mut state, id.clone()),
         }
-        // Places that are offered and not used yet are taken back: the ingress is told "not run".
-        let offered = state.ledger.unused_grants();
+        // Unused grants are revoked; an ingress that tries to use one gets "not run".
+        let unused = state.ledger.unused_grants();
         drop(state);
-        for grant in offered {
+        for grant in unused {
             self.end_grant(grant, RunEnd::NotRun(NotRunReason::NoGrant));
         }
         self.row_changed.notify_one();
         self.issue_grants();
     }
 
-    /// A crashed endpoint says nothing; two signs together are enough.
+    /// Marks the endpoint as leaving if it has also missed its heartbeats; the caller could not connect to it.
     pub(super) fn mark_leaving_if_silent(self: &Rc<Self>, id: &EndpointId) {
         let state = self.state.borrow();
-        let Some(endpoint) = state.endpoint.as_ref().filter(|it| it.announced.id == *id) else { return };
-        let silent = self.silent_beats(endpoint) >= DEAD_AFTER_HEARTBEATS;
+        let Some(endpoint) = state.endpoint.as_ref().filter(|it| it.announcement.id == *id) else { return };
+        let silent = self.missed_heartbeats(endpoint) >= DEAD_AFTER_HEARTBEATS;
         drop(state);
         if silent {
             self.mark_leaving(id, "silent and unreachable");
         }
     }
 
-    /// Gives places only to work that is likely to end before `ends`; at once none if the endpoint may be gone.
-    pub fn drain_until(self: &Rc<Self>, ends: Instant) {
+    /// Issues grants only for requests that are likely to end before `work_deadline`. Stops at once if the endpoint
+    /// was not seen for two heartbeat intervals, since it may be gone.
+    pub fn drain_until(self: &Rc<Self>, work_deadline: Instant) {
         let mut state = self.state.borrow_mut();
-        state.ends = Some(ends);
-        let heard = state.endpoint.as_ref().map(|it| it.heard);
+        state.work_deadline = Some(work_deadline);
+        let last_seen = state.endpoint.as_ref().map(|it| it.last_seen);
         drop(state);
-        if heard.is_none_or(|it| clock::now().saturating_duration_since(it) > self.announce_every * 2) {
+        if last_seen.is_none_or(|it| clock::now().saturating_duration_since(it) > self.announce_interval * 2) {
             self.stop_granting();
         } else {
             self.issue_grants();
         }
     }
 
-    /// Stops giving places: all that wait are sent elsewhere.
+    /// Issues no more grants and refuses all waiting reservations.
     pub fn stop_granting(self: &Rc<Self>) {
-        let id = self.state.borrow().endpoint.as_ref().map(|it| it.announced.id.clone());
+        let id = self.state.borrow().endpoint.as_ref().map(|it| it.announcement.id.clone());
         if let Some(id) = id {
             self.mark_leaving(&id, "this proxy stops");
         }
     }
 }
 
-/// Remembers that a life is over. One that never told its start is over with all lives that began until now.
-fn retire(state: &mut State, id: EndpointId) {
-    if state.retired.len() >= RETIRED_KEPT {
+/// Remembers that an incarnation is over. If its start time is unknown, all incarnations under its name that started
+/// before now are over.
+fn retire_incarnation(state: &mut GuardState, id: EndpointId) {
+    if state.retired.len() >= MAX_RETIRED {
         state.retired.remove(0);
     }
-    let born = id.started_at.unwrap_or_else(clock::unix_millis);
-    state.retired.push(EndpointId { started_at: Some(born), ..id });
+    let started_at = id.started_at.unwrap_or_else(clock::unix_millis);
+    state.retired.push(EndpointId { started_at: Some(started_at), ..id });
 }
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -1,7 +1,7 @@
-//! The places of one guard: each is used once, and what became of it is remembered for a while.
+//! The grants of one guard: each is used at most once, and how it ended is remembered for a while.
 //!
-//! Pure: this is what makes "not run" true, so it is checked by itself against messages that are lost,
-//! late and doubled, and guards that restart (tests/grant_ledger.rs).
+//! This is what makes the answer "not run" true. It does no I/O, so that tests/grant_ledger.rs can check it against lost,
+//! late and duplicated messages and restarts of guards.
 
 use std::time::{Duration, Instant};
 
@@ -14,76 +14,77 @@
     },
 };
 
-/// How long an end is remembered for an ingress that lost its connection.
-const ENDED_KEPT: Duration = Duration::from_secs(20);
-/// How many ends are remembered at most; far above slots times the runs of 20 s.
-const ENDED_COUNT: usize = 512;
-/// How many bytes of answers are remembered at most.
-const ENDED_BYTES: usize = 16 << 20;
+/// How long the end of a grant is remembered for an ingress that lost its connection.
+const ENDED_TTL: Duration = Duration::from_secs(20);
+/// The maximum number of remembered ends; well above the number of runs within `ENDED_TTL`.
+const MAX_ENDED: usize = 512;
+/// The maximum total size of remembered answer bodies, in bytes.
+const MAX_ENDED_BYTES: usize = 16 << 20;
 
-/// What a place is given for.
+/// The request that a grant is for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GrantedWork {
-    /// The work's class.
+    /// The route that the request matched.
     pub route: RouteName,
-    /// What the request asks for.
+    /// Identifies requests with the same content.
     pub fingerprint: Fingerprint,
-    /// Whether it is the trial of a request that is held back.
+    /// Whether this is a trial of a quarantined request.
     pub quarantine_trial: bool,
-    /// Whether the work may run again.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// How much of it counts as a repeat, 0 to 1.
+    /// The part of the request that counts as a retry, 0 to 1.
     pub retry_share: f64,
-    /// Whether the endpoint is not clean.
+    /// Whether the endpoint was not clean when the grant was issued.
     pub endpoint_trial: bool,
 }
 
-/// The work that uses a place.
+/// A run that uses a grant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ActiveRun {
-    /// How much of it counts as a repeat, 0 to 1.
+    /// The part of the run that counts as a retry, 0 to 1.
     pub retry_share: f64,
-    /// What was known against the request when it was begun.
-    pub case_at_start: CrashRecord,
-    /// When it was begun.
+    /// The crash record of the request when the run started.
+    pub crash_record_at_start: CrashRecord,
+    /// When the run started.
     pub started_at: Instant,
-    /// The endpoint was told to stop by then.
+    /// The deadline that was sent to the endpoint.
     pub deadline: Instant,
-    /// Failed calls that may be its own; the failure of the work that made one is not the endpoint's.
+    /// Failed nested calls that this run may have made; a run that fails because of one does not count against the
+    /// endpoint.
     pub failed_calls: Vec<FailedCallId>,
-    /// It failed, and a failed call explains it.
+    /// Whether the run failed and a failed nested call explains that.
     pub failure_explained: bool,
 }
 
-/// Numbers the calls that were not answered well.
+/// Identifies a failed nested call.
 pub type FailedCallId = u64;
 
-/// A place that is offered or in use.
+/// A grant that is unused or in use.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GrantEntry {
     id: GrantId,
     endpoint: EndpointId,
-    /// What it is for.
+    /// The request that the grant is for.
     pub work: GrantedWork,
-    /// What uses it; `None` while it is offered.
+    /// The run that uses the grant; `None` while it is unused.
     pub active_run: Option<ActiveRun>,
 }
 
 impl GrantEntry {
-    /// The work that uses it, with its class.
+    /// The grant's id, route and run, if the grant is in use.
     pub fn as_active_run(&self) -> Option<(GrantId, &str, &ActiveRun)> {
         Some((self.id, &*self.work.route, self.active_run.as_ref()?))
     }
 }
 
-struct Ended {
+struct EndedGrant {
     id: GrantId,
     end: RunEnd,
-    at: Instant,
+    ended_at: Instant,
 }
 
-impl Ended {
-    fn bytes(&self) -> usize {
+impl EndedGrant {
+    fn body_len(&self) -> usize {
         match &self.end {
             RunEnd::Answered { content, .. } => content.body.len(),
             RunEnd::NotRun(_) | RunEnd::Unknown(_) => 0,
@@ -91,133 +92,134 @@
     }
 }
 
-/// What is known of a place.
+/// What the ledger knows about a grant.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GrantStatus {
-    /// It is offered and not used yet.
+    /// The grant was issued and not used yet.
     Unused,
-    /// It is in use.
+    /// A run uses the grant.
     Running,
-    /// It was used, or taken back.
+    /// The run ended, or the grant was revoked unused.
     Ended(RunEnd),
-    /// It is another run's, or was forgotten: it may have been used.
+    /// Another incarnation of the guard issued the grant, or its end is no longer remembered: it may have been used.
     Unknown,
 }
 
-/// The places of one run of a guard.
+/// The grants issued by one incarnation of a guard.
 pub struct GrantLedger {
     incarnation: Incarnation,
-    /// Offered or in use; bounded by the endpoint's slots.
+    /// Grants that are unused or in use; bounded by the endpoint's slots.
     entries: Vec<GrantEntry>,
-    /// In the order of their ends. An unused place stands here as not run, so it never runs later.
-    ended: Vec<Ended>,
-    /// The last number given; numbers are never used again.
-    last: GrantId,
+    /// In the order in which the grants ended. A grant revoked unused is listed as not run, so that it never runs later.
+    ended: Vec<EndedGrant>,
+    /// The id of the last grant; ids are never reused.
+    last_id: GrantId,
 }
 
 impl GrantLedger {
-    /// Of a guard that has just started.
+    /// Creates the ledger of a guard that has just started.
     pub fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, entries: Vec::new(), ended: Vec::new(), last: 0 }
+        Self { incarnation, entries: Vec::new(), ended: Vec::new(), last_id: 0 }
     }
 
-    /// Offers a place at an endpoint.
+    /// Issues a grant for `endpoint`.
     pub fn issue(&mut self, endpoint: EndpointId, work: GrantedWork) -> Grant {
-        self.last += 1;
-        let grant = Grant { id: self.last, guard: self.incarnation, endpoint: endpoint.clone() };
-        self.entries.push(GrantEntry { id: self.last, endpoint, work, active_run: None });
+        self.last_id += 1;
+        let grant = Grant { id: self.last_id, guard: self.incarnation, endpoint: endpoint.clone() };
+        self.entries.push(GrantEntry { id: self.last_id, endpoint, work, active_run: None });
         grant
     }
 
-    /// Places that are offered or in use.
+    /// The number of grants that are unused or in use.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no place is offered or in use.
+    /// Whether no grant is unused or in use.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Places that were given while the endpoint was not clean.
+    /// The number of open grants that were issued while the endpoint was not clean.
     pub fn endpoint_trials(&self) -> usize {
         self.entries.iter().filter(|it| it.work.endpoint_trial).count()
     }
 
-    /// Places that are offered and not used yet.
+    /// The grants that are not used yet.
     pub fn unused_grants(&self) -> Vec<GrantId> {
         self.entries.iter().filter(|it| it.active_run.is_none()).map(|it| it.id).collect()
     }
 
-    /// The place `id`, while it is offered or in use.
+    /// The grant `id`, if it is unused or in use.
     pub fn entry(&self, id: GrantId) -> Option<&GrantEntry> {
         self.entries.iter().find(|it| it.id == id)
     }
 
-    /// What places are offered or used for.
+    /// The requests that hold a grant, running or not.
     pub fn granted_work(&self) -> impl Iterator<Item = &GrantedWork> {
         self.entries.iter().map(|it| &it.work)
     }
 
-    /// The work at `endpoint`, with what it is.
+    /// The runs at `endpoint`, with their requests.
     pub fn runs_at(&self, endpoint: &EndpointId) -> impl Iterator<Item = (&GrantedWork, &ActiveRun)> {
-        let there = self.entries.iter().filter(move |it| it.endpoint == *endpoint);
-        there.filter_map(|it| Some((&it.work, it.active_run.as_ref()?)))
+        let at_endpoint = self.entries.iter().filter(move |it| it.endpoint == *endpoint);
+        at_endpoint.filter_map(|it| Some((&it.work, it.active_run.as_ref()?)))
     }
 
-    /// The work that runs, with its class.
+    /// All runs, with the id of their grant and their route.
     pub fn active_runs(&self) -> impl Iterator<Item = (GrantId, &str, &ActiveRun)> {
         self.entries.iter().filter_map(GrantEntry::as_active_run)
     }
 
-    /// A call of one of `parents` was not answered well.
+    /// Adds a failed nested call to the runs that may have made it.
     pub fn add_failed_call(&mut self, call: FailedCallId, parents: &[GrantId]) {
         for it in self.entries.iter_mut().filter(|it| parents.contains(&it.id)) {
-            if let Some(running) = &mut it.active_run {
-                running.failed_calls.push(call);
+            if let Some(run) = &mut it.active_run {
+                run.failed_calls.push(call);
             }
         }
     }
 
-    /// Whether the failure of `id` is explained by a failed call. Each explains the failure of one piece of
-    /// work only, whichever of its possible parents fails first.
+    /// Whether a failed nested call explains the failure of the run `id`. Each call explains the failure of one run only:
+    /// of those that may have made it, the one that fails first.
     pub fn explain_failure_by_call(&mut self, id: GrantId) -> bool {
-        let running = self.entries.iter_mut().find(|it| it.id == id).and_then(|it| it.active_run.as_mut());
-        let Some(running) = running.filter(|it| !it.failed_calls.is_empty()) else { return false };
-        running.failure_explained = true;
-        let call = running.failed_calls[0];
+        let run = self.entries.iter_mut().find(|it| it.id == id).and_then(|it| it.active_run.as_mut());
+        let Some(run) = run.filter(|it| !it.failed_calls.is_empty()) else { return false };
+        run.failure_explained = true;
+        let call = run.failed_calls[0];
         for it in self.entries.iter_mut().filter_map(|it| it.active_run.as_mut()) {
             it.failed_calls.retain(|it| *it != call);
         }
         true
     }
 
-    /// Uses a place, once; `None` if it is not offered by this run, or for another endpoint.
-    pub fn start_run(&mut self, grant: &Grant, running: ActiveRun) -> Option<&GrantEntry> {
-        let ours = grant.guard == self.incarnation;
+    /// Uses a grant, which works once. Returns `None` if the grant is not an unused one of this incarnation, or is for another
+    /// endpoint.
+    pub fn start_run(&mut self, grant: &Grant, run: ActiveRun) -> Option<&GrantEntry> {
+        let same_incarnation = grant.guard == self.incarnation;
         let matches_grant =
             |it: &&mut GrantEntry| it.id == grant.id && it.endpoint == grant.endpoint && it.active_run.is_none();
-        let entry = self.entries.iter_mut().find(matches_grant).filter(|_| ours)?;
-        entry.active_run = Some(running);
+        let entry = self.entries.iter_mut().find(matches_grant).filter(|_| same_incarnation)?;
+        entry.active_run = Some(run);
         Some(entry)
     }
 
-    /// Ends a place and remembers how, unless its work may simply run again.
+    /// Ends a grant. The end is remembered unless the request is idempotent; a revoked grant is always remembered.
     pub fn end(&mut self, id: GrantId, end: RunEnd, now: Instant) -> Option<GrantEntry> {
         let at = self.entries.iter().position(|it| it.id == id)?;
         let entry = self.entries.swap_remove(at);
         if !entry.work.idempotent || end == RunEnd::NotRun(NotRunReason::NoGrant) {
-            self.ended.push(Ended { id, end, at: now });
+            self.ended.push(EndedGrant { id, end, ended_at: now });
         }
-        self.ended.retain(|it| now.saturating_duration_since(it.at) < ENDED_KEPT);
-        let mut bytes: usize = self.ended.iter().map(Ended::bytes).sum();
-        while self.ended.len() > ENDED_COUNT || bytes > ENDED_BYTES {
-            bytes -= self.ended.remove(0).bytes();
+        self.ended.retain(|it| now.saturating_duration_since(it.ended_at) < ENDED_TTL);
+        let mut bytes: usize = self.ended.iter().map(EndedGrant::body_len).sum();
+        while self.ended.len() > MAX_ENDED || bytes > MAX_ENDED_BYTES {
+            bytes -= self.ended.remove(0).body_len();
         }
         Some(entry)
     }
 
-    /// What is known of a place.
+    /// The status of `grant`.
     pub fn status(&self, grant: &Grant) -> GrantStatus {
         if grant.guard != self.incarnation {
             return GrantStatus::Unknown;
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -1,9 +1,11 @@
-//! The only way to the VM's endpoint: places, the queue, and what became of each place.
+//! The guard of this VM's endpoint: admits requests to it, so that no more run there than it has slots.
+//!
+//! The guard queues reservations, issues grants for free slots, runs each granted request at most once and remembers
+//! how it ended.
 
 mod announcements;
 mod calls;
 pub mod ledger;
-
 pub(super) mod quarantine;
 mod reservations;
 mod runs;
@@ -40,31 +42,31 @@
     },
 };
 
-/// What an endpoint says of itself.
+/// An endpoint's announcement of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
-    /// Which life of it.
+    /// The endpoint's incarnation.
     pub id: EndpointId,
-    /// Its service.
+    /// The service that the endpoint serves.
     pub service: ServiceName,
-    /// Where it is.
+    /// The address on which the endpoint takes requests.
     pub address: SocketAddr,
-    /// How much it works on at once.
+    /// The number of requests that the endpoint runs at once.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the endpoint accepts requests.
     pub phase: EndpointPhase,
-    /// How much longer it is slow after its start.
+    /// The rest of the warm-up, during which the endpoint is slow.
     pub warmup_left: Duration,
-    /// Goes up with each announcement of one life.
+    /// Increases with each announcement of one incarnation.
     pub sequence: u64,
 }
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// It does.
+    /// The endpoint accepts requests.
     Serving,
-    /// It does not, and never will again.
+    /// The endpoint accepts no more requests; this is final for an incarnation.
     Leaving,
 }
 
@@ -77,158 +79,158 @@
     }
 }
 
-/// What the proxy knows beyond its guard that bears on a place.
+/// Facts outside the guard that decide about a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReservationContext {
-    /// How many guards share the allowance of the service.
+    /// The number of guards that share the retry budget of the service.
     pub service_guards: usize,
-    /// A service that such work calls has no allowance left: a repeat would call it again.
+    /// Whether a service that requests of this route call has no retry budget left: a retry would call it again.
     pub callee_budget_exhausted: bool,
 }
 
-/// What an announcement changed.
+/// The effect of an announcement on the guard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncementEffect {
-    /// Nothing, or only when it was heard last.
+    /// At most the time of the last announcement and details of the same incarnation changed.
     Unchanged,
-    /// The endpoint, or whether it takes work.
+    /// The endpoint was replaced, or stopped accepting requests.
     Changed,
-    /// It names another endpoint while the known one seems alive: ask at the address.
+    /// It names another endpoint while the known one seems alive; a health check of the address must decide.
     Conflicting,
 }
 
-/// An endpoint that takes work.
+/// An endpoint that accepts requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServingEndpoint {
-    /// Which life of it.
+    /// The endpoint's incarnation.
     pub id: EndpointId,
-    /// Its service.
+    /// The service that the endpoint serves.
     pub service: ServiceName,
-    /// How much it works on at once.
+    /// The number of requests that the endpoint runs at once.
     pub slots: u32,
-    /// How far it is trusted.
+    /// The endpoint's standing from outlier detection.
     pub standing: EndpointStanding,
 }
 
 struct Endpoint {
-    announced: Announcement,
+    announcement: Announcement,
     pool: Rc<EndpointPool>,
-    record: StandingTracker,
-    heard: Instant,
-    cold_until: Instant,
+    standing_tracker: StandingTracker,
+    last_seen: Instant,
+    warmup_until: Instant,
 }
 
 impl Endpoint {
-    /// How much it may work on at once now.
+    /// The number of slots that may be used now; fewer during the warm-up.
     fn usable_slots(&self, now: Instant) -> u32 {
-        let slots = self.announced.slots;
-        if now < self.cold_until { slots.div_ceil(COLD_PART) } else { slots }
+        let slots = self.announcement.slots;
+        if now < self.warmup_until { slots.div_ceil(WARMUP_SLOT_DIVISOR) } else { slots }
     }
 }
 
-/// An endpoint that warms up works at about half its speed.
-const COLD_PART: u32 = 2;
+/// During its warm-up an endpoint gets its slots divided by this.
+const WARMUP_SLOT_DIVISOR: u32 = 2;
 
-type PlaceSender = oneshot::Sender<Result<Grant, GrantRefusal>>;
+type GrantSender = oneshot::Sender<Result<Grant, GrantRefusal>>;
 
-struct State {
+struct GuardState {
     endpoint: Option<Endpoint>,
-    /// Former lives at this address; the newest last.
+    /// Former incarnations, the newest last; at most `announcements::MAX_RETIRED`.
     retired: Vec<EndpointId>,
     queue: WaitQueue,
-    /// One for each waiter in the queue.
-    senders: Vec<(WaiterId, PlaceSender)>,
+    /// The reply channel of each waiter in the queue.
+    grant_senders: Vec<(WaiterId, GrantSender)>,
     ledger: GrantLedger,
-    pace: ServiceTimes,
-    allowance: GuardRetryBudget,
-    /// Requests that end endpoints.
+    service_times: ServiceTimes,
+    retry_budget: GuardRetryBudget,
+    /// Requests that crash endpoints.
     quarantine: Quarantine,
-    /// Of which of them there is something to tell.
-    quarantine_news: Vec<Fingerprint>,
-    /// Of which of them the endpoint here showed something that is to be written down.
-    quarantine_found: Vec<Fingerprint>,
-    /// Work that ended without the endpoint's answer: it may go on, and call, until its time is over. At most
-    /// `calls::LINGERING_KEPT`.
-    lingering: Vec<GrantEntry>,
-    /// Tells calls from callers' requests.
-    origins: OriginTracker,
-    /// The last number given to a failed call.
-    last_failed_call: FailedCallId,
-    /// Which services the work of a class called here; sorted.
-    calls: Vec<(RouteName, ServiceName)>,
-    /// This proxy stops: the endpoint's work must have ended by then.
-    ends: Option<Instant>,
-    /// Where the slots' time goes.
+    /// Requests whose crash record changed and must be sent to other proxies.
+    records_to_send: Vec<Fingerprint>,
+    /// Requests whose crash record was changed by this VM's endpoint and must be stored.
+    records_to_store: Vec<Fingerprint>,
+    /// Runs that ended here without the endpoint's answer: they may still run, and make nested calls, until their
+    /// deadline. At most `calls::MAX_UNFINISHED`.
+    unfinished: Vec<GrantEntry>,
+    /// Distinguishes nested calls from caller requests.
+    origin_tracker: OriginTracker,
+    /// The id of the last failed nested call.
+    last_failed_call_id: FailedCallId,
+    /// The services that runs of a route called through this proxy; sorted.
+    nested_calls: Vec<(RouteName, ServiceName)>,
+    /// Set while this proxy shuts down: runs must have ended by then.
+    work_deadline: Option<Instant>,
+    /// How much slot time was spent on what.
     slot_time: SlotTime,
-    /// The last number given to a waiter.
-    last_waiter: WaiterId,
+    /// The id of the last waiter.
+    last_waiter_id: WaiterId,
 }
 
-impl State {
-    /// The endpoint, while it takes work.
+impl GuardState {
+    /// The endpoint, if it accepts requests.
     fn serving(&self) -> Option<&Endpoint> {
-        self.endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving)
+        self.endpoint.as_ref().filter(|it| it.announcement.phase == EndpointPhase::Serving)
     }
 
-    /// Accounts for the slots until now; to be called whenever they may be taken otherwise than before.
-    fn account(&mut self, now: Instant) {
-        let working = count(self.ledger.active_runs().count());
+    /// Adds the slot time since the last call; must be called whenever the use of the slots may have changed.
+    fn account_slot_time(&mut self, now: Instant) {
+        let working = saturating_u32(self.ledger.active_runs().count());
         let next = self.serving().map_or_else(SlotOccupancy::default, |it| SlotOccupancy {
-            slots: it.announced.slots,
+            slots: it.announcement.slots,
             usable: it.usable_slots(now),
-            offered: count(self.ledger.len()) - working,
+            offered: saturating_u32(self.ledger.len()) - working,
             working,
-            standing: it.record.standing(),
+            standing: it.standing_tracker.standing(),
             has_waiters: !self.queue.is_empty(),
         });
         self.slot_time.advance(next, now);
     }
 }
 
-/// The guard of this VM's endpoint.
+/// Admits requests to this VM's endpoint.
 pub struct Guard {
-    announce_every: Duration,
+    announce_interval: Duration,
     events: Rc<EventLog>,
-    state: RefCell<State>,
-    /// Some run ended.
+    state: RefCell<GuardState>,
+    /// Notified when a grant ended.
     run_ended: Notify,
-    /// The row of this proxy must be told anew.
+    /// Notified when the directory entry of this proxy must be sent again.
     pub(super) row_changed: Notify,
-    /// The endpoint's standing changed.
+    /// Notified when the endpoint's standing changed.
     pub(super) standing_changed: Notify,
-    /// Something is known anew against requests.
+    /// Notified when the crash record of a request changed.
     pub(super) cases_changed: Notify,
 }
 
 impl Guard {
-    /// A guard that knows no endpoint yet.
+    /// Creates a guard without an endpoint. Endpoints announce themselves every `announce_interval`.
     pub fn new(
         incarnation: Incarnation,
-        announce_every: Duration,
+        announce_interval: Duration,
         retry_budget: RetryBudgetConfig,
         events: Rc<EventLog>,
     ) -> Self {
         Self {
-            announce_every,
+            announce_interval,
             events,
-            state: RefCell::new(State {
+            state: RefCell::new(GuardState {
                 endpoint: None,
                 retired: Vec::new(),
                 queue: WaitQueue::default(),
-                senders: Vec::new(),
+                grant_senders: Vec::new(),
                 ledger: GrantLedger::new(incarnation),
-                pace: ServiceTimes::default(),
-                allowance: GuardRetryBudget::new(retry_budget),
+                service_times: ServiceTimes::default(),
+                retry_budget: GuardRetryBudget::new(retry_budget),
                 quarantine: Quarantine::default(),
-                quarantine_news: Vec::new(),
-                quarantine_found: Vec::new(),
-                lingering: Vec::new(),
-                origins: OriginTracker::default(),
-                last_failed_call: 0,
-                calls: Vec::new(),
-                ends: None,
+                records_to_send: Vec::new(),
+                records_to_store: Vec::new(),
+                unfinished: Vec::new(),
+                origin_tracker: OriginTracker::default(),
+                last_failed_call_id: 0,
+                nested_calls: Vec::new(),
+                work_deadline: None,
                 slot_time: SlotTime::default(),
-                last_waiter: 0,
+                last_waiter_id: 0,
             }),
             run_ended: Notify::new(),
             row_changed: Notify::new(),
@@ -237,58 +239,59 @@
         }
     }
 
-    /// The endpoint, while it takes work.
+    /// The endpoint, if it accepts requests.
     pub fn serving_endpoint(&self) -> Option<ServingEndpoint> {
         let state = self.state.borrow();
         let it = state.serving()?;
         Some(ServingEndpoint {
-            id: it.announced.id.clone(),
-            service: it.announced.service.clone(),
-            slots: it.announced.slots,
-            standing: it.record.standing(),
+            id: it.announcement.id.clone(),
+            service: it.announcement.service.clone(),
+            slots: it.announcement.slots,
+            standing: it.standing_tracker.standing(),
         })
     }
 
-    /// How far the endpoint is trusted, while it takes work; told with every reply, so nothing is copied for it.
+    /// The standing of the endpoint, or the default if none accepts requests. Every reply carries it, so this does not
+    /// clone the endpoint as [`Self::serving_endpoint`] does.
     pub fn standing(&self) -> EndpointStanding {
-        self.state.borrow().serving().map(|it| it.record.standing()).unwrap_or_default()
+        self.state.borrow().serving().map(|it| it.standing_tracker.standing()).unwrap_or_default()
     }
 
-    /// The endpoint as it stands in this proxy's row.
+    /// The endpoint as listed in this proxy's directory entry.
     pub fn endpoint_row(&self) -> Option<EndpointRow> {
         self.serving_endpoint().map(|it| EndpointRow { id: it.id, slots: it.slots })
     }
 
-    /// Requests at the endpoint or permitted, and requests that wait.
+    /// The number of grants that are unused or in use, and the number of waiting reservations.
     pub fn load(&self) -> (u32, u32) {
         let state = self.state.borrow();
-        (count(state.ledger.len()), count(state.queue.len()))
+        (saturating_u32(state.ledger.len()), saturating_u32(state.queue.len()))
     }
 
-    /// Whether no repeat may arrive now.
+    /// Whether the retry budget allows no retry now.
     pub fn retry_budget_exhausted(&self) -> bool {
-        self.state.borrow().allowance.is_exhausted()
+        self.state.borrow().retry_budget.is_exhausted()
     }
 
-    /// How many runs are under way.
+    /// The number of grants that are unused or in use.
     pub fn open_grants(&self) -> usize {
         self.state.borrow().ledger.len()
     }
 
-    /// Milliseconds of slot time by use, since the start of this process.
+    /// The slot time by use since the start of this process, in milliseconds.
     pub fn slot_time_ms(&self) -> Vec<(&'static str, u64)> {
         let mut state = self.state.borrow_mut();
-        state.account(clock::now());
+        state.account_slot_time(clock::now());
         let millis = |it: SlotUse| u64::try_from(state.slot_time.total(it).as_millis()).unwrap_or(u64::MAX);
         SlotUse::ALL.iter().map(|it| (it.name(), millis(*it))).collect()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether no endpoint has been announced or found yet.
     pub fn has_no_endpoint(&self) -> bool {
         self.state.borrow().endpoint.is_none()
     }
 }
 
-fn count(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/src/proxy/guard/quarantine.rs
+++ b/src/proxy/guard/quarantine.rs
@@ -1,8 +1,9 @@
-//! What this VM's endpoint, its end above all, says of the requests that it worked on.
+//! Maintains the crash records of requests: evidence from this VM's endpoint is added, records of other proxies and of the
+//! store are merged, so that a request that crashes endpoints is quarantined everywhere.
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Guard, State};
+use super::{Guard, GuardState};
 use crate::{
     decide::{
         fingerprint::Fingerprint,
@@ -12,23 +13,23 @@
     proxy::{clock, events::Event, message::Grant},
 };
 
-/// Who says something of a request.
+/// The source of a change to a crash record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::proxy) enum CaseSource {
-    /// This VM's endpoint ended under it.
+    /// This VM's endpoint crashed while it ran the request.
     Ended,
-    /// This VM's endpoint answered it well.
+    /// This VM's endpoint answered the request successfully.
     Answered,
     /// Another proxy.
     Peer,
-    /// The store, from an earlier time perhaps.
+    /// A listing of the store, which may be stale.
     Store,
-    /// The store, asked whose its next trial is.
+    /// The store's reply to an attempt to begin a trial.
     Trial,
 }
 
 impl CaseSource {
-    /// As written in events.
+    /// The name used in events.
     fn name(self) -> &'static str {
         match self {
             Self::Ended => "ended",
@@ -41,56 +42,56 @@
 }
 
 impl Guard {
-    /// What is known against a request.
+    /// The crash record of a request.
     pub fn case(&self, fingerprint: Fingerprint) -> CrashRecord {
         self.state.borrow().quarantine.crash_record(fingerprint)
     }
 
-    /// What is known against a request that has just come.
+    /// The crash record of a request that has just arrived; extends the time for which the record is kept.
     pub fn note_request(&self, fingerprint: Fingerprint) -> CrashRecord {
         self.state.borrow_mut().quarantine.touch(fingerprint, clock::now())
     }
 
-    /// Takes in what a guard said of a request.
-    pub(in crate::proxy) fn merge_case(self: &Rc<Self>, fingerprint: Fingerprint, case: CrashRecord) {
-        let told = CrashRecordUpdate { fingerprint, record: case, age: Duration::ZERO };
-        self.merge_cases(&[told], CaseSource::Peer);
+    /// Merges a crash record that another proxy sent along with a message.
+    pub(in crate::proxy) fn merge_case(self: &Rc<Self>, fingerprint: Fingerprint, record: CrashRecord) {
+        let update = CrashRecordUpdate { fingerprint, record, age: Duration::ZERO };
+        self.merge_cases(&[update], CaseSource::Peer);
     }
 
-    /// Takes in what others know against requests.
+    /// Merges crash records from `source`.
     pub(in crate::proxy) fn merge_cases(self: &Rc<Self>, cases: &[CrashRecordUpdate], source: CaseSource) {
         let now = clock::now();
         for it in cases {
             let mut state = self.state.borrow_mut();
-            let before = state.quarantine.crash_record(it.fingerprint).is_quarantined();
-            let is_news = state.quarantine.merge_update(it, now);
+            let was_quarantined = state.quarantine.crash_record(it.fingerprint).is_quarantined();
+            let changed = state.quarantine.merge_update(it, now);
             drop(state);
-            if is_news {
-                self.note_news(it.fingerprint, before, source);
+            if changed {
+                self.handle_record_change(it.fingerprint, was_quarantined, source);
             }
         }
     }
 
-    /// The endpoint ended: all its work may be to blame.
+    /// Records a crash of `endpoint` against all requests that ran there.
     pub(super) fn add_crash_evidence(self: &Rc<Self>, endpoint: &EndpointId) {
         let mut state = self.state.borrow_mut();
-        let State { ledger, quarantine, .. } = &mut *state;
-        let work: Vec<(Fingerprint, CrashRecord)> =
-            ledger.runs_at(endpoint).map(|(work, it)| (work.fingerprint, it.case_at_start)).collect();
-        let before: Vec<(Fingerprint, bool)> =
-            work.iter().map(|it| (it.0, quarantine.crash_record(it.0).is_quarantined())).collect();
-        let news = quarantine.record_crash(&work, clock::now());
+        let GuardState { ledger, quarantine, .. } = &mut *state;
+        let runs: Vec<(Fingerprint, CrashRecord)> =
+            ledger.runs_at(endpoint).map(|(work, it)| (work.fingerprint, it.crash_record_at_start)).collect();
+        let previously_quarantined: Vec<(Fingerprint, bool)> =
+            runs.iter().map(|it| (it.0, quarantine.crash_record(it.0).is_quarantined())).collect();
+        let changed = quarantine.record_crash(&runs, clock::now());
         drop(state);
-        for (fingerprint, held) in before.into_iter().filter(|it| news.contains(&it.0)) {
-            self.note_news(fingerprint, held, CaseSource::Ended);
+        for (fingerprint, was_quarantined) in previously_quarantined.into_iter().filter(|it| changed.contains(&it.0)) {
+            self.handle_record_change(fingerprint, was_quarantined, CaseSource::Ended);
         }
     }
 
-    /// Says that the endpoint ended while it had this work.
+    /// Emits the event that the endpoint crashed while it ran the request of `grant`.
     pub(super) fn emit_ended_under(&self, grant: &Grant, request: &str, ran: Duration) {
         let state = self.state.borrow();
-        let Some(given) = state.ledger.entry(grant.id) else { return };
-        let fingerprint = given.work.fingerprint;
+        let Some(entry) = state.ledger.entry(grant.id) else { return };
+        let fingerprint = entry.work.fingerprint;
         self.events.emit(&Event::EndedUnder {
             endpoint: &grant.endpoint.name,
             request,
@@ -102,73 +103,73 @@
         metrics::counter!("jayreach_endpoint_ended_under_work_total").increment(1);
     }
 
-    /// The endpoint answered a request well.
+    /// Records that the endpoint answered a request successfully, which clears the request.
     pub(super) fn add_success_evidence(self: &Rc<Self>, fingerprint: Fingerprint) {
         let mut state = self.state.borrow_mut();
-        let before = state.quarantine.crash_record(fingerprint).is_quarantined();
-        let is_news = state.quarantine.record_success(fingerprint, clock::now());
+        let was_quarantined = state.quarantine.crash_record(fingerprint).is_quarantined();
+        let changed = state.quarantine.record_success(fingerprint, clock::now());
         drop(state);
-        if is_news {
-            self.note_news(fingerprint, before, CaseSource::Answered);
+        if changed {
+            self.handle_record_change(fingerprint, was_quarantined, CaseSource::Answered);
         }
     }
 
-    /// The cases of which there is something to tell, once.
+    /// Takes the crash records that changed since the last call, to send them to other proxies.
     pub(in crate::proxy) fn take_changed_cases(&self) -> Vec<CrashRecordUpdate> {
         let mut state = self.state.borrow_mut();
-        let mut news = std::mem::take(&mut state.quarantine_news);
-        news.sort_unstable();
-        news.dedup();
+        let mut changed = std::mem::take(&mut state.records_to_send);
+        changed.sort_unstable();
+        changed.dedup();
         let cases = state.quarantine.updates(clock::now());
-        cases.into_iter().filter(|it| news.binary_search(&it.fingerprint).is_ok()).collect()
+        cases.into_iter().filter(|it| changed.binary_search(&it.fingerprint).is_ok()).collect()
     }
 
-    /// All cases.
+    /// All crash records.
     pub(in crate::proxy) fn cases(&self) -> Vec<CrashRecordUpdate> {
         self.state.borrow().quarantine.updates(clock::now())
     }
 
-    /// One number that differs where any case differs.
+    /// A digest of all crash records, to compare two proxies.
     pub(in crate::proxy) fn cases_digest(&self) -> u64 {
         self.state.borrow().quarantine.digest()
     }
 
-    /// Forgets cases that are over.
+    /// Removes expired crash records.
     pub(in crate::proxy) fn remove_expired_cases(&self) {
         self.state.borrow_mut().quarantine.remove_expired(clock::now());
     }
 
-    /// How long until a request that is held back may have its next trial; `None` if it has had all.
+    /// The time until the next trial of a quarantined request; `None` if it has used up its trials.
     pub(in crate::proxy) fn time_to_next_trial(&self, fingerprint: Fingerprint) -> Option<Duration> {
         self.state.borrow().quarantine.next_trial_in(fingerprint, clock::now())
     }
 
-    /// The next trial of a request is due after its whole pause from now.
+    /// Restarts the pause before the next trial of a request.
     pub(in crate::proxy) fn postpone_trial(&self, fingerprint: Fingerprint) {
         self.state.borrow_mut().quarantine.postpone_trial(fingerprint, clock::now());
     }
 
-    /// The requests of which this VM's endpoint showed that they are to be held back, or no longer, once.
+    /// Takes the requests whose crash record this VM's endpoint changed since the last call, to store the records.
     pub(in crate::proxy) fn take_cases_to_store(&self) -> Vec<Fingerprint> {
-        std::mem::take(&mut self.state.borrow_mut().quarantine_found)
+        std::mem::take(&mut self.state.borrow_mut().records_to_store)
     }
 
-    /// Has a changed case told to others, and lets work begin, or not, as it now should.
-    fn note_news(self: &Rc<Self>, fingerprint: Fingerprint, was_held: bool, source: CaseSource) {
+    /// Schedules a changed crash record for sending and storing, updates metrics and events, and re-evaluates the queue.
+    fn handle_record_change(self: &Rc<Self>, fingerprint: Fingerprint, was_quarantined: bool, source: CaseSource) {
         let mut state = self.state.borrow_mut();
-        state.quarantine_news.push(fingerprint);
+        state.records_to_send.push(fingerprint);
         if matches!(source, CaseSource::Ended | CaseSource::Answered) {
-            state.quarantine_found.push(fingerprint);
+            state.records_to_store.push(fingerprint);
         }
-        let case = state.quarantine.crash_record(fingerprint);
+        let record = state.quarantine.crash_record(fingerprint);
         let (suspects, quarantined) = state.quarantine.counts();
         drop(state);
         metrics::gauge!("jayreach_suspect_requests").set(suspects as f64);
         metrics::gauge!("jayreach_quarantined_requests").set(quarantined as f64);
-        let held = case.is_quarantined();
-        if held != was_held {
-            let (evidence, source) = (case.evidence(), source.name());
-            self.events.emit(&Event::Quarantine { fingerprint, held, evidence, source });
+        let is_quarantined = record.is_quarantined();
+        if is_quarantined != was_quarantined {
+            let (evidence, source) = (record.evidence(), source.name());
+            self.events.emit(&Event::Quarantine { fingerprint, held: is_quarantined, evidence, source });
         }
         self.cases_changed.notify_one();
         self.issue_grants();
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -1,4 +1,4 @@
-//! Places at the endpoint: who waits for one, who gets one, and when it is taken back.
+//! Queues reservations, issues grants for free slots and revokes grants that are not used in time.
 
 use std::{
     rc::Rc,
@@ -7,7 +7,7 @@
 
 use tokio::{sync::oneshot, task::spawn_local, time::sleep};
 
-use super::{EndpointPhase, Guard, PlaceSender, ReservationContext, State, count, ledger::GrantedWork};
+use super::{EndpointPhase, GrantSender, Guard, GuardState, ReservationContext, ledger::GrantedWork, saturating_u32};
 use crate::{
     decide::{
         guard_retry_budget::Retry,
@@ -21,44 +21,47 @@
     },
 };
 
-/// How long a place is kept for an ingress that does not use it: many round trips between data
-/// centres, and short beside the work.
+/// How long a grant may stay unused: many round trips between data centres, but short compared to a run.
 const GRANT_TTL: Duration = Duration::from_millis(300);
 
 impl Guard {
-    /// Waits for a place. Dropping the future takes the wish, or the place, back.
+    /// Waits for a grant. Dropping the future cancels the reservation, or revokes the grant.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the reason if the endpoint does not accept the request, at once or while it waits.
     pub async fn reserve(
         self: &Rc<Self>,
         req: &ReserveRequest,
-        known: ReservationContext,
+        context: ReservationContext,
     ) -> Result<Grant, GrantRefusal> {
         self.merge_case(req.fingerprint, req.case);
         let (tx, rx) = oneshot::channel();
-        let id = self.state.borrow_mut().admit(req, known, tx, clock::now())?;
-        let mut wish = Wish { guard: self, id, rx };
+        let id = self.state.borrow_mut().enqueue(req, context, tx, clock::now())?;
+        let mut pending = PendingReservation { guard: self, id, rx };
         self.issue_grants();
-        (&mut wish.rx).await.unwrap_or(Err(GrantRefusal::NotServed))
+        (&mut pending.rx).await.unwrap_or(Err(GrantRefusal::NotServed))
     }
 
-    /// Gives free places to those that wait, in order, and turns those away that can't begin here.
+    /// Issues grants for free slots to waiting reservations, in order, and refuses those that can't start here.
     pub(super) fn issue_grants(self: &Rc<Self>) {
         let now = clock::now();
-        let mut offered = Vec::new();
+        let mut issued = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            while let Some(id) = state.offer_next(now) {
-                offered.push(id);
+            while let Some(id) = state.issue_next(now) {
+                issued.push(id);
             }
-            state.turn_away(now);
-            state.account(now);
+            state.refuse_waiters(now);
+            state.account_slot_time(now);
         }
-        for id in offered {
-            self.expire(id);
+        for id in issued {
+            self.revoke_if_unused(id);
         }
     }
 
-    /// Takes a place back that is not used in time.
-    fn expire(self: &Rc<Self>, id: GrantId) {
+    /// Revokes a grant that is still unused after `GRANT_TTL`.
+    fn revoke_if_unused(self: &Rc<Self>, id: GrantId) {
         let guard = Rc::clone(self);
         spawn_local(async move {
             sleep(GRANT_TTL).await;
@@ -70,47 +73,51 @@
     }
 }
 
-impl State {
-    /// Adds a wish to the queue, unless this is no place for it.
-    fn admit(
+impl GuardState {
+    /// Adds a reservation to the queue, or refuses it.
+    fn enqueue(
         &mut self,
         req: &ReserveRequest,
-        known: ReservationContext,
-        tx: PlaceSender,
+        context: ReservationContext,
+        tx: GrantSender,
         now: Instant,
     ) -> Result<WaiterId, GrantRefusal> {
         let endpoint = self.endpoint.as_ref().ok_or(GrantRefusal::NotServed)?;
-        let leaves = endpoint.announced.phase == EndpointPhase::Leaving;
-        if endpoint.announced.service != req.service || leaves || !fits(self.ends, &self.pace, &req.route, now) {
+        let is_leaving = endpoint.announcement.phase == EndpointPhase::Leaving;
+        if endpoint.announcement.service != req.service
+            || is_leaving
+            || !fits_before_shutdown(self.work_deadline, &self.service_times, &req.route, now)
+        {
             return Err(GrantRefusal::NotServed);
         }
         if self.quarantine.crash_record(req.fingerprint).is_quarantined() && !req.is_quarantine_trial {
             return Err(GrantRefusal::Quarantined);
         }
-        self.origins.record(&req.route, req.is_certain_caller_request);
-        if !endpoint.record.admits(
+        self.origin_tracker.record(&req.route, req.is_certain_caller_request);
+        if !endpoint.standing_tracker.admits(
             req.worst_standing,
             req.allows_endpoint_trial,
-            count(self.ledger.endpoint_trials()),
+            saturating_u32(self.ledger.endpoint_trials()),
             now,
         ) {
             return Err(GrantRefusal::Suspect);
         }
-        // The guards of a service know better than an ingress whether callers use a route.
-        let call = req.is_nested_call && self.origins.used_by_callers(&req.route) != Some(true);
-        self.allowance.set_guard_count(known.service_guards);
+        // The guards of a service receive the route's reservations from every ingress, so their count overrides the
+        // ingress's own classification.
+        let nested_call = req.is_nested_call && self.origin_tracker.used_by_callers(&req.route) != Some(true);
+        self.retry_budget.set_guard_count(context.service_guards);
         if req.attempt_kind == AttemptKind::Retry {
-            let retry = Retry { rank: req.rank, is_nested_call: call };
-            self.allowance.record_demand(retry, now);
-            if known.callee_budget_exhausted || !self.allowance.allows(retry, now) {
+            let retry = Retry { rank: req.rank, is_nested_call: nested_call };
+            self.retry_budget.record_demand(retry, now);
+            if context.callee_budget_exhausted || !self.retry_budget.allows(retry, now) {
                 return Err(GrantRefusal::RetryBudgetExhausted);
             }
         }
-        self.last_waiter += 1;
-        let id = self.last_waiter;
+        self.last_waiter_id += 1;
+        let id = self.last_waiter_id;
         self.queue.push(Waiter {
             id,
-            is_nested_call: call,
+            is_nested_call: nested_call,
             rank: req.rank,
             idempotent: req.idempotent,
             may_be_trial: req.allows_endpoint_trial,
@@ -123,100 +130,110 @@
             fingerprint: req.fingerprint,
             is_quarantine_trial: req.is_quarantine_trial,
         });
-        self.senders.push((id, tx));
+        self.grant_senders.push((id, tx));
         Ok(id)
     }
 
-    /// Offers a free place to the first that may have one.
-    fn offer_next(&mut self, now: Instant) -> Option<GrantId> {
-        let Self { endpoint, queue, senders, ledger, allowance, quarantine, pace, ends, .. } = self;
-        let endpoint = endpoint.as_mut().filter(|it| it.announced.phase == EndpointPhase::Serving)?;
-        let limit = endpoint.usable_slots(now);
-        while count(ledger.len()) < limit {
-            let trials = count(ledger.endpoint_trials());
-            let suspect_here = ledger.granted_work().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
+    /// Issues a grant to the first waiter that may start now; `None` if there is no free slot or no such waiter.
+    fn issue_next(&mut self, now: Instant) -> Option<GrantId> {
+        let Self {
+            endpoint, queue, grant_senders, ledger, retry_budget, quarantine, service_times, work_deadline, ..
+        } = self;
+        let endpoint = endpoint.as_mut().filter(|it| it.announcement.phase == EndpointPhase::Serving)?;
+        let usable_slots = endpoint.usable_slots(now);
+        while saturating_u32(ledger.len()) < usable_slots {
+            let endpoint_trials = saturating_u32(ledger.endpoint_trials());
+            let has_suspect_request =
+                ledger.granted_work().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
-                let case = quarantine.crash_record(it.fingerprint);
-                endpoint.record.admits(it.accepts, it.may_be_trial, trials, now)
-                    && (it.is_quarantine_trial || !case.is_quarantined())
-                    && !(case.is_suspect() && suspect_here)
-                    && (!it.is_retry || allowance.allows(it.retry(), now))
-                    && fits(*ends, pace, &it.route, now)
+                let record = quarantine.crash_record(it.fingerprint);
+                endpoint.standing_tracker.admits(it.accepts, it.may_be_trial, endpoint_trials, now)
+                    && (it.is_quarantine_trial || !record.is_quarantined())
+                    && !(record.is_suspect() && has_suspect_request)
+                    && (!it.is_retry || retry_budget.allows(it.retry(), now))
+                    && fits_before_shutdown(*work_deadline, service_times, &it.route, now)
             };
             let waiter = queue.next(now, admits)?;
-            let Some(at) = senders.iter().position(|it| it.0 == waiter.id) else { continue };
-            let (_, tx) = senders.swap_remove(at);
+            let Some(at) = grant_senders.iter().position(|it| it.0 == waiter.id) else { continue };
+            let (_, tx) = grant_senders.swap_remove(at);
             let work = GrantedWork {
                 route: waiter.route,
                 fingerprint: waiter.fingerprint,
                 quarantine_trial: waiter.is_quarantine_trial,
                 idempotent: waiter.idempotent,
                 retry_share: waiter.repeat_share,
-                endpoint_trial: endpoint.record.standing() != EndpointStanding::Clean,
+                endpoint_trial: endpoint.standing_tracker.standing() != EndpointStanding::Clean,
             };
-            let grant = ledger.issue(endpoint.announced.id.clone(), work);
+            let grant = ledger.issue(endpoint.announcement.id.clone(), work);
             let id = grant.id;
             if tx.send(Ok(grant)).is_err() {
                 ledger.end(id, RunEnd::NotRun(NotRunReason::NoGrant), now);
                 continue;
             }
-            endpoint.record.record_start(now);
-            allowance.record_arrival(waiter.repeat_share);
+            endpoint.standing_tracker.record_start(now);
+            retry_budget.record_arrival(waiter.repeat_share);
             return Some(id);
         }
         None
     }
 
-    /// Refuses what waits and can't begin here: it is better off elsewhere.
-    fn turn_away(&mut self, now: Instant) {
-        let Self { endpoint, queue, senders, allowance, quarantine, pace, ends, .. } = self;
-        let serving = endpoint.as_ref().filter(|it| it.announced.phase == EndpointPhase::Serving);
+    /// Refuses the waiters that can't start here, so that their ingress can try another guard.
+    fn refuse_waiters(&mut self, now: Instant) {
+        let Self { endpoint, queue, grant_senders, retry_budget, quarantine, service_times, work_deadline, .. } = self;
+        let serving = endpoint.as_ref().filter(|it| it.announcement.phase == EndpointPhase::Serving);
         let refusal = |it: &Waiter| match serving {
             _ if quarantine.crash_record(it.fingerprint).is_quarantined() && !it.is_quarantine_trial => {
                 Some(GrantRefusal::Quarantined)
             }
             None => Some(GrantRefusal::NotServed),
-            Some(_) if !fits(*ends, pace, &it.route, now) => Some(GrantRefusal::NotServed),
-            Some(endpoint) if !endpoint.record.admits(it.accepts, it.may_be_trial, 0, now) => {
+            Some(_) if !fits_before_shutdown(*work_deadline, service_times, &it.route, now) => {
+                Some(GrantRefusal::NotServed)
+            }
+            Some(endpoint) if !endpoint.standing_tracker.admits(it.accepts, it.may_be_trial, 0, now) => {
                 Some(GrantRefusal::Suspect)
             }
-            Some(_) if it.is_retry && !allowance.allows(it.retry(), now) => Some(GrantRefusal::RetryBudgetExhausted),
+            Some(_) if it.is_retry && !retry_budget.allows(it.retry(), now) => Some(GrantRefusal::RetryBudgetExhausted),
             Some(_) => None,
         };
         while let Some(waiter) = queue.remove_first(|it| refusal(it).is_some()) {
-            let why = refusal(&waiter).expect("it was taken out for that");
-            if let Some(at) = senders.iter().position(|it| it.0 == waiter.id) {
-                // An ingress that is gone needs no answer.
-                _ = senders.swap_remove(at).1.send(Err(why));
+            let reason = refusal(&waiter).expect("the waiter was removed because it has a refusal");
+            if let Some(at) = grant_senders.iter().position(|it| it.0 == waiter.id) {
+                // The ingress may have dropped the receiver.
+                _ = grant_senders.swap_remove(at).1.send(Err(reason));
             }
         }
     }
 }
 
-/// Whether work of `route` that begins now is likely to end by `ends`, when this proxy stops.
-fn fits(ends: Option<Instant>, pace: &ServiceTimes, route: &str, now: Instant) -> bool {
-    /// Few pieces of work take longer than this many times the usual.
-    const TIMES_USUAL: u32 = 3;
-    let Some(ends) = ends else { return true };
-    pace.mean(route).is_some_and(|it| now + it * TIMES_USUAL <= ends)
+/// Whether a run of `route` that starts now is likely to end by `work_deadline`, which is set during a shutdown.
+fn fits_before_shutdown(
+    work_deadline: Option<Instant>,
+    service_times: &ServiceTimes,
+    route: &str,
+    now: Instant,
+) -> bool {
+    /// Few runs take longer than this many times the mean service time.
+    const SERVICE_TIME_FACTOR: u32 = 3;
+    let Some(work_deadline) = work_deadline else { return true };
+    service_times.mean(route).is_some_and(|it| now + it * SERVICE_TIME_FACTOR <= work_deadline)
 }
 
-/// A wish for a place, taken back when its future is dropped.
-struct Wish<'a> {
+/// A reservation that waits for its grant; dropping it cancels the reservation.
+struct PendingReservation<'a> {
     guard: &'a Rc<Guard>,
     id: WaiterId,
     rx: oneshot::Receiver<Result<Grant, GrantRefusal>>,
 }
 
-impl Drop for Wish<'_> {
+impl Drop for PendingReservation<'_> {
     fn drop(&mut self) {
-        // A place that was given and not taken yet is free again.
+        // The grant was issued but not received yet: revoke it.
         if let Ok(Ok(grant)) = self.rx.try_recv() {
             self.guard.end_grant(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
             return;
         }
         let mut state = self.guard.state.borrow_mut();
         state.queue.remove(self.id);
-        state.senders.retain(|it| it.0 != self.id);
+        state.grant_senders.retain(|it| it.0 != self.id);
     }
 }
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -1,4 +1,4 @@
-//! Runs at the endpoint: each place is used once, and its end is remembered for a while.
+//! Runs granted requests at the endpoint, each at most once, and learns the endpoint's standing from how they end.
 
 use std::{
     rc::Rc,
@@ -8,7 +8,7 @@
 use tokio::{task::spawn_local, time::timeout};
 
 use super::{
-    Guard, State,
+    Guard, GuardState,
     ledger::{ActiveRun, GrantStatus},
 };
 use crate::{
@@ -25,27 +25,27 @@
     },
 };
 
-/// How long an [`Ask`](crate::proxy::message::Ask) waits for a run to end.
-const ASK_WAIT: Duration = Duration::from_secs(10);
-/// Work is overdue after this many times its usual length, and `OVERDUE_MORE`.
+/// How long a [`RunQuery`](crate::proxy::message::RunQuery) waits for a run to end.
+const RUN_QUERY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A run is overdue after this many times its mean service time plus `OVERDUE_MARGIN`.
 const OVERDUE_FACTOR: u32 = 3;
-/// See `OVERDUE_FACTOR`: short work varies more.
-const OVERDUE_MORE: Duration = Duration::from_millis(300);
-/// Work on a trial says something after this, however short the class's work is: fast failures take a few
+/// Added because short runs vary more.
+const OVERDUE_MARGIN: Duration = Duration::from_millis(300);
+/// An endpoint trial must run at least this long to show that it did not fail fast: fast failures take a few
 /// milliseconds, and the VM may be slow.
-const WORKING_LEAST: Duration = Duration::from_millis(30);
-/// Work of a class never seen is overdue after this.
-const OVERDUE_UNKNOWN: Duration = Duration::from_secs(3);
+const MIN_WORKING_TIME: Duration = Duration::from_millis(30);
+/// A run of a route without a known mean service time is overdue after this.
+const OVERDUE_DEFAULT: Duration = Duration::from_secs(3);
 
-/// What can be said of an endpoint while it works, and after how long.
-struct Stages {
-    /// It did not fail fast; of interest in a trial.
+/// The run times after which a sample of the endpoint is recorded before the run ends.
+struct ProgressThresholds {
+    /// The endpoint did not fail fast; set only for endpoint trials.
     working: Option<Duration>,
-    /// It takes much longer than usual.
+    /// The run takes much longer than usual.
     overdue: Duration,
 }
 
-impl Stages {
+impl ProgressThresholds {
     fn in_order(&self) -> impl Iterator<Item = (Duration, AnswerSample, &'static str)> {
         let working = self.working.map(|it| (it, AnswerSample::Working, "working"));
         working.into_iter().chain([(self.overdue, AnswerSample::SoftFailure, "overdue")])
@@ -53,60 +53,65 @@
 }
 
 impl Guard {
-    /// Uses a place: sends the work to the endpoint, once.
+    /// Uses a grant: sends its request to the endpoint, at most once.
     ///
-    /// Dropping the future stops idempotent work. Other work goes on, and its end is remembered.
+    /// Dropping the future cancels an idempotent request. Any other request keeps running, and its end is remembered.
     pub async fn run(self: &Rc<Self>, run: RunRequest) -> RunEnd {
-        let Some((pool, idempotent, stages)) = self.begin(&run) else {
+        let Some((pool, idempotent, thresholds)) = self.start_run(&run) else {
             return RunEnd::NotRun(NotRunReason::NoGrant);
         };
         let grant = run.grant.clone();
-        let work = Rc::clone(self).execute(run, pool, stages);
+        let execution = Rc::clone(self).execute(run, pool, thresholds);
         if idempotent {
-            let _cancel = Cancel { guard: self, grant: grant.id };
-            return work.await;
+            let _end_grant = EndGrantOnDrop { guard: self, grant: grant.id };
+            return execution.await;
         }
-        spawn_local(work);
-        self.ended(&grant).await
+        spawn_local(execution);
+        self.wait_for_end(&grant).await
     }
 
-    fn begin(&self, run: &RunRequest) -> Option<(Rc<EndpointPool>, bool, Stages)> {
+    fn start_run(&self, run: &RunRequest) -> Option<(Rc<EndpointPool>, bool, ProgressThresholds)> {
         let mut state = self.state.borrow_mut();
-        let State { endpoint, ledger, quarantine, pace, .. } = &mut *state;
-        let endpoint = endpoint.as_ref().filter(|it| it.announced.id == run.grant.endpoint)?;
+        let GuardState { endpoint, ledger, quarantine, service_times, .. } = &mut *state;
+        let endpoint = endpoint.as_ref().filter(|it| it.announcement.id == run.grant.endpoint)?;
         let work = &ledger.entry(run.grant.id)?.work;
-        let known = quarantine.crash_record(work.fingerprint);
-        if known.is_quarantined() && !work.quarantine_trial {
+        let record = quarantine.crash_record(work.fingerprint);
+        if record.is_quarantined() && !work.quarantine_trial {
             return None;
         }
         let now = clock::now();
-        let running = ActiveRun {
+        let active_run = ActiveRun {
             retry_share: run.retry_share,
-            case_at_start: known,
+            crash_record_at_start: record,
             started_at: now,
             deadline: now + run.timeout,
             failed_calls: Vec::new(),
             failure_explained: false,
         };
-        let work = &ledger.start_run(&run.grant, running)?.work;
-        let usual = pace.mean(&work.route);
-        let stages = Stages {
-            working: work.endpoint_trial.then(|| suspicion::fast_failure_limit(usual).max(WORKING_LEAST)),
-            overdue: usual.map_or(OVERDUE_UNKNOWN, |it| it * OVERDUE_FACTOR + OVERDUE_MORE),
+        let work = &ledger.start_run(&run.grant, active_run)?.work;
+        let mean_time = service_times.mean(&work.route);
+        let thresholds = ProgressThresholds {
+            working: work.endpoint_trial.then(|| suspicion::fast_failure_limit(mean_time).max(MIN_WORKING_TIME)),
+            overdue: mean_time.map_or(OVERDUE_DEFAULT, |it| it * OVERDUE_FACTOR + OVERDUE_MARGIN),
         };
-        let begun = (Rc::clone(&endpoint.pool), work.idempotent, stages);
-        state.account(now);
-        Some(begun)
+        let started = (Rc::clone(&endpoint.pool), work.idempotent, thresholds);
+        state.account_slot_time(now);
+        Some(started)
     }
 
-    async fn execute(self: Rc<Self>, run: RunRequest, pool: Rc<EndpointPool>, stages: Stages) -> RunEnd {
+    async fn execute(
+        self: Rc<Self>,
+        run: RunRequest,
+        pool: Rc<EndpointPool>,
+        thresholds: ProgressThresholds,
+    ) -> RunEnd {
         let RunRequest {
             grant,
-            request_id: request,
+            request_id,
             method,
             target,
             content,
-            timeout: left,
+            timeout: time_left,
             retry_share: _,
             fingerprint: _,
         } = run;
@@ -124,57 +129,64 @@
         *head.headers_mut() = content.headers();
         let body = content.body.into_vec().into();
         let req = EndpointRequest {
-            request_id: request.clone(),
+            request_id: request_id.clone(),
             instance_id: grant.endpoint.name.clone(),
             head,
             body,
-            time_left: left,
+            time_left,
         };
         let start = clock::now();
-        let work = pool.run(req);
-        tokio::pin!(work);
+        let exchange = pool.run(req);
+        tokio::pin!(exchange);
         let end = 'end: {
-            for (after, sample, why) in stages.in_order() {
-                let left = (start + after).saturating_duration_since(clock::now());
-                if let Ok(it) = timeout(left, &mut work).await {
+            for (after, sample, why) in thresholds.in_order() {
+                let wait = (start + after).saturating_duration_since(clock::now());
+                if let Ok(it) = timeout(wait, &mut exchange).await {
                     break 'end it;
                 }
-                self.sample(&grant.endpoint, sample, start, &request, why);
+                self.record_sample(&grant.endpoint, sample, start, &request_id, why);
             }
-            work.await
+            exchange.await
         };
-        self.learn(&grant, &end, &request, start, left);
+        self.record_outcome(&grant, &end, &request_id, start, time_left);
         self.end_grant(grant.id, end.clone());
         end
     }
 
-    /// Takes in what the end of a run says of the endpoint.
-    fn learn(self: &Rc<Self>, grant: &Grant, end: &RunEnd, request: &str, begun: Instant, left: Duration) {
-        /// An endpoint that ends this close to its deadline ran out of time.
-        const CLOSE: Duration = Duration::from_millis(100);
-        let took = clock::now().saturating_duration_since(begun);
+    /// Records what the end of a run shows about the endpoint and the request.
+    fn record_outcome(
+        self: &Rc<Self>,
+        grant: &Grant,
+        end: &RunEnd,
+        request_id: &str,
+        started_at: Instant,
+        run_timeout: Duration,
+    ) {
+        /// A 504 that arrives this close to the deadline means that the request ran out of time.
+        const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
+        let took = clock::now().saturating_duration_since(started_at);
         let state = self.state.borrow();
-        let Some(given) = state.ledger.entry(grant.id) else { return };
-        let (route, fingerprint) = (given.work.route.clone(), given.work.fingerprint);
-        let failure = AnswerSample::from_failure(took, state.pace.mean(&route));
+        let Some(entry) = state.ledger.entry(grant.id) else { return };
+        let (route, fingerprint) = (entry.work.route.clone(), entry.work.fingerprint);
+        let failure_sample = AnswerSample::from_failure(took, state.service_times.mean(&route));
         drop(state);
         let (sample, why) = match end {
             RunEnd::Answered { status, .. } if *status < 500 => {
                 self.add_success_evidence(fingerprint);
-                self.state.borrow_mut().pace.record(&route, took);
+                self.state.borrow_mut().service_times.record(&route, took);
                 (AnswerSample::Good, "answered")
             }
-            RunEnd::Answered { status: 504, .. } if took + CLOSE >= left => return,
+            RunEnd::Answered { status: 504, .. } if took + DEADLINE_MARGIN >= run_timeout => return,
             RunEnd::Answered { .. } if self.state.borrow_mut().ledger.explain_failure_by_call(grant.id) => return,
-            RunEnd::Answered { .. } => (failure, "failed"),
+            RunEnd::Answered { .. } => (failure_sample, "failed"),
             RunEnd::Unknown(UnknownReason::TimedOut | UnknownReason::GuardStateLost)
             | RunEnd::NotRun(NotRunReason::NoGrant) => return,
             RunEnd::Unknown(UnknownReason::Ended) => {
                 self.add_crash_evidence(&grant.endpoint);
-                self.emit_ended_under(grant, request, took);
+                self.emit_ended_under(grant, request_id, took);
                 (AnswerSample::HardFailure, "ended")
             }
-            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::MalformedAnswer) => (failure, "broken"),
+            RunEnd::Unknown(UnknownReason::Broken | UnknownReason::MalformedAnswer) => (failure_sample, "broken"),
             RunEnd::NotRun(NotRunReason::Declined) => (AnswerSample::Declined, "declined"),
             RunEnd::NotRun(NotRunReason::NoConnection) => {
                 self.mark_leaving_if_silent(&grant.endpoint);
@@ -185,65 +197,72 @@
                 return;
             }
         };
-        self.sample(&grant.endpoint, sample, begun, request, why);
+        self.record_sample(&grant.endpoint, sample, started_at, request_id, why);
     }
 
-    fn sample(self: &Rc<Self>, id: &EndpointId, sample: AnswerSample, begun: Instant, request: &str, why: &str) {
+    fn record_sample(
+        self: &Rc<Self>,
+        id: &EndpointId,
+        sample: AnswerSample,
+        started_at: Instant,
+        request_id: &str,
+        why: &str,
+    ) {
         let mut state = self.state.borrow_mut();
-        let Some(endpoint) = state.endpoint.as_mut().filter(|it| it.announced.id == *id) else { return };
+        let Some(endpoint) = state.endpoint.as_mut().filter(|it| it.announcement.id == *id) else { return };
         let now = clock::now();
-        let turned = endpoint.record.record_sample(sample, begun, now);
-        let standing = endpoint.record.standing();
-        if turned {
-            state.account(now);
+        let changed = endpoint.standing_tracker.record_sample(sample, started_at, now);
+        let standing = endpoint.standing_tracker.standing();
+        if changed {
+            state.account_slot_time(now);
         }
         drop(state);
-        if turned {
-            self.events.emit(&Event::Standing { endpoint: &id.name, standing, request, why });
+        if changed {
+            self.events.emit(&Event::Standing { endpoint: &id.name, standing, request: request_id, why });
             metrics::counter!("jayreach_standing_changes_total", "to" => standing.name()).increment(1);
             self.standing_changed.notify_one();
         }
     }
 
-    /// Gives a place back and remembers what became of it.
+    /// Ends a grant, frees its slot and remembers how it ended.
     pub(super) fn end_grant(self: &Rc<Self>, grant: GrantId, end: RunEnd) {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
         let unused = end == RunEnd::NotRun(NotRunReason::NoGrant);
-        let may_go_on = matches!(end, RunEnd::Unknown(_));
-        let on = use_of(&end);
-        let Some(given) = state.ledger.end(grant, end, now) else { return };
-        if let Some(it) = &given.active_run {
-            let on = if it.failure_explained { SlotUse::CallFailed } else { on };
-            state.slot_time.add_work(on, now.saturating_duration_since(it.started_at));
+        let may_still_run = matches!(end, RunEnd::Unknown(_));
+        let slot_use = slot_use_of(&end);
+        let Some(entry) = state.ledger.end(grant, end, now) else { return };
+        if let Some(it) = &entry.active_run {
+            let slot_use = if it.failure_explained { SlotUse::CallFailed } else { slot_use };
+            state.slot_time.add_work(slot_use, now.saturating_duration_since(it.started_at));
         }
         if unused {
-            state.allowance.undo_arrival(given.work.retry_share);
+            state.retry_budget.undo_arrival(entry.work.retry_share);
         }
-        if may_go_on {
-            state.keep_unfinished(given, now);
+        if may_still_run {
+            state.keep_unfinished(entry, now);
         }
         drop(state);
         self.run_ended.notify_waiters();
         self.issue_grants();
     }
 
-    /// What became of a place; one that was not used yet is taken back.
+    /// Waits for the end of a grant's run; a grant that is not used yet is revoked.
     pub async fn query_run_end(self: &Rc<Self>, grant: &Grant) -> RunEnd {
-        let known = self.state.borrow().ledger.status(grant);
-        if known == GrantStatus::Unused {
+        let status = self.state.borrow().ledger.status(grant);
+        if status == GrantStatus::Unused {
             self.end_grant(grant.id, RunEnd::NotRun(NotRunReason::NoGrant));
         }
-        timeout(ASK_WAIT, self.ended(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::TimedOut))
+        timeout(RUN_QUERY_TIMEOUT, self.wait_for_end(grant)).await.unwrap_or(RunEnd::Unknown(UnknownReason::TimedOut))
     }
 
-    async fn ended(&self, grant: &Grant) -> RunEnd {
+    async fn wait_for_end(&self, grant: &Grant) -> RunEnd {
         loop {
             let ended = self.run_ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            let known = self.state.borrow().ledger.status(grant);
-            match known {
+            let status = self.state.borrow().ledger.status(grant);
+            match status {
                 GrantStatus::Unused | GrantStatus::Running => ended.await,
                 GrantStatus::Ended(it) => return it,
                 GrantStatus::Unknown => return RunEnd::Unknown(UnknownReason::GuardStateLost),
@@ -252,8 +271,8 @@
     }
 }
 
-/// What the time of work with this end was spent on.
-fn use_of(end: &RunEnd) -> SlotUse {
+/// How the slot time of a run with this end is accounted for.
+fn slot_use_of(end: &RunEnd) -> SlotUse {
     match end {
         RunEnd::Answered { status, .. } if *status < 500 => SlotUse::Answered,
         RunEnd::Answered { .. }
@@ -265,13 +284,13 @@
     }
 }
 
-/// Gives the place of idempotent work back when its future is dropped before its end.
-struct Cancel<'a> {
+/// Ends the grant of an idempotent request if the future is dropped before the run ended.
+struct EndGrantOnDrop<'a> {
     guard: &'a Rc<Guard>,
     grant: GrantId,
 }
 
-impl Drop for Cancel<'_> {
+impl Drop for EndGrantOnDrop<'_> {
     fn drop(&mut self) {
         self.guard.end_grant(self.grant, RunEnd::Unknown(UnknownReason::TimedOut));
     }
--- a/tests/grant_ledger.rs
+++ b/tests/grant_ledger.rs
@@ -94,7 +94,7 @@
     fn begin(&mut self, guard: usize, grant: &Grant) {
         let running = ActiveRun {
             retry_share: 0.0,
-            case_at_start: CrashRecord::default(),
+            crash_record_at_start: CrashRecord::default(),
             started_at: self.now,
             deadline: self.now,
             failed_calls: Vec::new(),
