--- a/tests/grant_ledger.rs
+++ b/tests/grant_ledger.rs
@@ -1,7 +1,6 @@
-//! The places of guards against messages that are lost, late and doubled, and guards that restart.
-//!
-//! One request that must not run twice; an ingress that goes on to another place only when the one
-//! before is known not to have run; two guards. Every schedule is random and seeded.
+//! Simulates one non-idempotent request, an ingress and the grant ledgers of two guards under random, seeded schedules of
+//! lost, late and duplicated messages and guard restarts. Guards against running the request twice or reporting it as
+//! not run although it ran.
 
 use std::time::{Duration, Instant};
 
@@ -16,20 +15,20 @@
 use rstest::rstest;
 
 const SCHEDULES: u64 = 20_000;
-const STEPS: u32 = 40;
+const STEPS_PER_ATTEMPT: u32 = 40;
 
-/// What is switched off, to see that the check can fail.
+/// A fault injected to show that the check detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A place can be used again.
-    UsedAgain,
-    /// A question about an unused place leaves it as it is.
-    NotTakenBack,
-    /// A guard that restarted takes what it does not know for unused.
-    ForgottenIsUnused,
-    /// The ingress goes on although the end is not known.
-    GoesOn,
+    /// A grant can be used more than once.
+    GrantReused,
+    /// A query about an unused grant does not revoke it.
+    UnusedNotRevoked,
+    /// A guard treats grants that it does not know as not run.
+    ForgottenTakenAsUnused,
+    /// The ingress retries although the end of the last attempt is unknown.
+    RetriesDespiteUnknownEnd,
 }
 
 fn endpoint() -> EndpointId {
@@ -50,49 +49,49 @@
 #[derive(Debug, Clone)]
 enum Message {
     Run(usize, Grant),
-    Ask(usize, Grant),
+    Query(usize, Grant),
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     now: Instant,
     guards: [GrantLedger; 2],
-    /// In flight; delivered in any order, perhaps twice, perhaps never.
+    /// Messages in flight; delivered in any order, possibly twice or never.
     messages: Vec<Message>,
-    /// Places in use, by guard: the endpoint may still be working.
-    working: Vec<(usize, Grant)>,
+    /// Grants in use, with the index of their guard: the endpoint may still be running the request.
+    running: Vec<(usize, Grant)>,
     runs: u32,
     fault: Fault,
 }
 
-/// What the ingress knows of its current attempt.
+/// What the ingress knows about an attempt.
 #[derive(Debug, Clone, PartialEq)]
-enum Verdict {
+enum AttemptResult {
     Done,
     NotRun,
     MayHaveRun,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, fault: Fault) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Instant::now(),
             guards: [GrantLedger::new(1), GrantLedger::new(2)],
             messages: Vec::new(),
-            working: Vec::new(),
+            running: Vec::new(),
             runs: 0,
             fault,
         }
     }
 
-    fn offer(&mut self, guard: usize) -> Grant {
+    fn issue(&mut self, guard: usize) -> Grant {
         let work = work();
         self.guards[guard].issue(endpoint(), work)
     }
 
-    fn begin(&mut self, guard: usize, grant: &Grant) {
-        let running = ActiveRun {
+    fn start_run(&mut self, guard: usize, grant: &Grant) {
+        let run = ActiveRun {
             retry_share: 0.0,
             crash_record_at_start: CrashRecord::default(),
             started_at: self.now,
@@ -100,33 +99,33 @@
             failed_calls: Vec::new(),
             failure_explained: false,
         };
-        let used_again = self.fault == Fault::UsedAgain && grant.guard == guard as u64 + 1;
-        if self.guards[guard].start_run(grant, running).is_some() || used_again {
+        let grant_reused = self.fault == Fault::GrantReused && grant.guard == guard as u64 + 1;
+        if self.guards[guard].start_run(grant, run).is_some() || grant_reused {
             self.runs += 1;
-            self.working.push((guard, grant.clone()));
+            self.running.push((guard, grant.clone()));
         }
     }
 
-    /// A guard's answer to the question what became of a place.
-    fn ask(&mut self, guard: usize, grant: &Grant) -> Option<RunEnd> {
+    /// The reply of a guard to a query about a grant; `None` while the run has not ended.
+    fn query_run_end(&mut self, guard: usize, grant: &Grant) -> Option<RunEnd> {
         match self.guards[guard].status(grant) {
             GrantStatus::Unused => {
                 let end = RunEnd::NotRun(NotRunReason::NoGrant);
-                if self.fault != Fault::NotTakenBack {
+                if self.fault != Fault::UnusedNotRevoked {
                     self.guards[guard].end(grant.id, end.clone(), self.now);
                 }
                 Some(end)
             }
             GrantStatus::Running => None,
             GrantStatus::Ended(it) => Some(it),
-            GrantStatus::Unknown if self.fault == Fault::ForgottenIsUnused => {
+            GrantStatus::Unknown if self.fault == Fault::ForgottenTakenAsUnused => {
                 Some(RunEnd::NotRun(NotRunReason::NoGrant))
             }
             GrantStatus::Unknown => Some(RunEnd::Unknown(UnknownReason::GuardStateLost)),
         }
     }
 
-    /// One thing happens in the world that the ingress does not decide.
+    /// Simulates one random event: a delivery, the end of a run, the expiry of unused grants or a guard restart.
     fn step(&mut self) {
         self.now += Duration::from_millis(self.rng.random_range(0..400));
         match self.rng.random_range(0..10) {
@@ -137,18 +136,18 @@
                     self.messages.swap_remove(at);
                 }
                 match message {
-                    Message::Run(guard, grant) => self.begin(guard, &grant),
-                    Message::Ask(guard, grant) => _ = self.ask(guard, &grant),
+                    Message::Run(guard, grant) => self.start_run(guard, &grant),
+                    Message::Query(guard, grant) => _ = self.query_run_end(guard, &grant),
                 }
             }
-            4 | 5 if !self.working.is_empty() => {
-                let at = self.rng.random_range(0..self.working.len());
-                let (guard, grant) = self.working.swap_remove(at);
+            4 | 5 if !self.running.is_empty() => {
+                let at = self.rng.random_range(0..self.running.len());
+                let (guard, grant) = self.running.swap_remove(at);
                 self.guards[guard].end(grant.id, RunEnd::Unknown(UnknownReason::Broken), self.now);
             }
             6 => {
                 let guard = self.rng.random_range(0..2);
-                // Places that are not used in time are taken back.
+                // Unused grants expire.
                 for id in self.guards[guard].unused_grants() {
                     self.guards[guard].end(id, RunEnd::NotRun(NotRunReason::NoGrant), self.now);
                 }
@@ -156,94 +155,94 @@
             7 if self.rng.random_bool(0.2) => {
                 let guard = self.rng.random_range(0..2);
                 self.guards[guard] = GrantLedger::new(self.rng.random_range(10..u64::MAX));
-                self.working.retain(|it| it.0 != guard);
+                self.running.retain(|it| it.0 != guard);
             }
             _ => (),
         }
     }
 
-    /// An attempt: the work is sent, and what became of it is asked until it is known or time is over.
-    fn attempt(&mut self, guard: usize) -> Verdict {
-        let grant = self.offer(guard);
+    /// Sends the request to a guard and queries the end of the run until it is known or the steps are used up.
+    fn attempt(&mut self, guard: usize) -> AttemptResult {
+        let grant = self.issue(guard);
         self.messages.push(Message::Run(guard, grant.clone()));
-        for _ in 0..STEPS {
+        for _ in 0..STEPS_PER_ATTEMPT {
             self.step();
             if self.rng.random_bool(0.7) {
                 continue;
             }
-            // A question may arrive and its answer be lost.
+            // The query may arrive although its reply is lost.
             if self.rng.random_bool(0.3) {
-                self.messages.push(Message::Ask(guard, grant.clone()));
+                self.messages.push(Message::Query(guard, grant.clone()));
                 continue;
             }
-            match self.ask(guard, &grant) {
-                Some(RunEnd::NotRun(_)) => return Verdict::NotRun,
-                Some(RunEnd::Answered { .. }) => return Verdict::Done,
-                Some(RunEnd::Unknown(_)) => return Verdict::MayHaveRun,
+            match self.query_run_end(guard, &grant) {
+                Some(RunEnd::NotRun(_)) => return AttemptResult::NotRun,
+                Some(RunEnd::Answered { .. }) => return AttemptResult::Done,
+                Some(RunEnd::Unknown(_)) => return AttemptResult::MayHaveRun,
                 None => (),
             }
         }
-        Verdict::MayHaveRun
+        AttemptResult::MayHaveRun
     }
 
-    /// Serves the request, then lets all that is still in flight arrive.
-    fn serve(&mut self) -> Verdict {
-        let mut verdict = Verdict::NotRun;
+    /// Serves the request, then delivers all run requests still in flight.
+    fn serve(&mut self) -> AttemptResult {
+        let mut result = AttemptResult::NotRun;
         for attempt in 0..3 {
-            verdict = self.attempt(attempt % 2);
-            if verdict != Verdict::NotRun && self.fault != Fault::GoesOn {
+            result = self.attempt(attempt % 2);
+            if result != AttemptResult::NotRun && self.fault != Fault::RetriesDespiteUnknownEnd {
                 break;
             }
         }
         for message in std::mem::take(&mut self.messages) {
             if let Message::Run(guard, grant) = message {
-                self.begin(guard, &grant);
+                self.start_run(guard, &grant);
             }
         }
-        verdict
+        result
     }
 }
 
-/// How many schedules ran the work twice, and how many called work "not run" that ran.
-fn play(fault: Fault) -> (u32, u32) {
-    let (mut twice, mut untrue) = (0, 0);
+/// Counts the schedules that ran the request twice, and those that reported it as not run although it ran.
+fn run_schedules(fault: Fault) -> (u32, u32) {
+    let (mut ran_twice, mut wrong_not_run) = (0, 0);
     for seed in 0..SCHEDULES {
-        let mut world = World::new(seed, fault);
-        let verdict = world.serve();
-        twice += u32::from(world.runs > 1);
-        untrue += u32::from(verdict == Verdict::NotRun && world.runs > 0);
+        let mut simulation = Simulation::new(seed, fault);
+        let result = simulation.serve();
+        ran_twice += u32::from(simulation.runs > 1);
+        wrong_not_run += u32::from(result == AttemptResult::NotRun && simulation.runs > 0);
     }
-    (twice, untrue)
+    (ran_twice, wrong_not_run)
 }
 
 #[test]
-fn no_schedule_runs_work_twice_or_calls_work_not_run_that_ran() {
-    assert_eq!(play(Fault::None), (0, 0));
+fn no_schedule_runs_a_request_twice_or_reports_a_run_as_not_run() {
+    assert_eq!(run_schedules(Fault::None), (0, 0));
 }
 
 #[rstest]
-#[case(Fault::UsedAgain)]
-#[case(Fault::NotTakenBack)]
-#[case(Fault::ForgottenIsUnused)]
-#[case(Fault::GoesOn)]
-fn with_any_part_switched_off_the_check_finds_it(#[case] fault: Fault) {
-    let (twice, untrue) = play(fault);
-
-    assert!(twice + untrue > 0, "{fault:?} goes unnoticed");
+#[case(Fault::GrantReused)]
+#[case(Fault::UnusedNotRevoked)]
+#[case(Fault::ForgottenTakenAsUnused)]
+#[case(Fault::RetriesDespiteUnknownEnd)]
+fn each_injected_fault_is_detected(#[case] fault: Fault) {
+    let (ran_twice, wrong_not_run) = run_schedules(fault);
+
+    assert!(ran_twice + wrong_not_run > 0, "{fault:?} is not detected");
 }
 
 #[test]
-fn an_end_is_remembered_for_a_while_and_then_unknown() {
+fn an_end_is_remembered_for_a_while_then_unknown() {
     let (now, mut ledger) = (Instant::now(), GrantLedger::new(1));
     let work = work();
     let grant = ledger.issue(endpoint(), work.clone());
     let other = ledger.issue(endpoint(), work);
 
     ledger.end(grant.id, RunEnd::NotRun(NotRunReason::Declined), now);
-    let soon = ledger.status(&grant);
+    let status_at_once = ledger.status(&grant);
     ledger.end(other.id, RunEnd::NotRun(NotRunReason::NoGrant), now + Duration::from_secs(30));
 
-    assert_eq!(soon, GrantStatus::Ended(RunEnd::NotRun(NotRunReason::Declined)));
+    assert_eq!(status_at_once, GrantStatus::Ended(RunEnd::NotRun(NotRunReason::Declined)));
     assert_eq!(ledger.status(&grant), GrantStatus::Unknown);
     assert!(ledger.is_empty());
 }
