--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -1,4 +1,4 @@
-//! What this proxy knows of all others: one row each, changed by its owner only.
+//! The directory of all proxies: one versioned row each, which only its owner changes.
 
 use std::{sync::Arc, time::Instant};
 
@@ -13,125 +13,125 @@
 
 /// A proxy's name, unique in the fleet.
 pub type ProxyName = Box<str>;
-/// Tells one run of a guard from all others; random.
+/// A random number that identifies one incarnation of a guard.
 pub type Incarnation = u64;
 
-/// What a proxy guards.
+/// The service of a VM and its endpoint, as listed in the row of the VM's proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GuardedService {
-    /// The service of its VM.
+    /// The name of the service.
     pub service: ServiceName,
-    /// The endpoint, while it takes work.
+    /// The endpoint, while it accepts requests.
     pub endpoint: Option<EndpointRow>,
 }
 
-/// An endpoint in its guard's row.
+/// An endpoint as listed in its proxy's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRow {
-    /// Which life of it.
+    /// The name and incarnation of the endpoint.
     pub id: EndpointId,
-    /// How much it works on at once.
+    /// How many requests it handles concurrently.
     pub slots: u32,
 }
 
-/// What a proxy says of itself that changes seldom. Its incarnation is the millisecond of its start by the VM's clock.
+/// The part of a proxy's state that changes seldom. The stamp's incarnation is the start of the process in Unix milliseconds.
 pub type Row = rows::Row<GuardedService>;
 
-/// What a proxy says of itself that changes often; told only to those it is connected to.
+/// The part of a proxy's state that changes often; sent only to linked proxies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyStatus {
-    /// The version of the configuration in force there; 0 for none.
+    /// The active configuration version; 0 for none.
     pub version: Version,
-    /// Goes up within a run each time the endpoint or its standing changes.
+    /// Counts the changes of the endpoint and its standing since the process started.
     #[serde(rename = "turns")]
     pub revision: u64,
-    /// How far the endpoint is trusted, if there is one.
+    /// The standing of the endpoint, if there is one.
     pub standing: EndpointStanding,
 }
 
-/// [`ProxyStatus`] with whose it is.
+/// A [`ProxyStatus`] with the name of its proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusUpdate {
     /// The proxy's name.
     pub name: ProxyName,
-    /// Of its row.
+    /// The stamp of the proxy's row.
     pub stamp: Stamp,
-    /// What it says.
+    /// The status.
     #[serde(rename = "current")]
     pub status: ProxyStatus,
 }
 
-/// The rows of all proxies, this one's included.
+/// The rows of all known proxies, including this one, which owns the directory.
 pub struct Directory {
     table: Table<GuardedService>,
-    /// Of the live rows; `None` while they must be counted anew.
+    /// Cached counts of the live rows; `None` after a change.
     counts: Option<Counts>,
 }
 
 #[derive(Debug)]
 struct Counts {
-    /// Proxies by the service of their VM, sorted.
-    guards: Vec<(ServiceName, usize)>,
+    /// The number of proxies for each service, sorted by service.
+    service_guards: Vec<(ServiceName, usize)>,
     data_centres: usize,
 }
 
 impl Directory {
-    /// A directory that holds the owner's row only.
+    /// Creates a directory that holds only the owner's row.
     pub fn new(own: Row, now: Instant) -> Self {
         Self { table: Table::new(own, OwnClaims::Outbid, now), counts: None }
     }
 
-    /// The owner's row.
+    /// Returns the owner's row.
     pub fn own(&self) -> &Arc<Row> {
         self.table.own()
     }
 
-    /// The hash of the owner's name.
+    /// Returns the hash of the owner's name.
     pub fn own_key(&self) -> DaemonKey {
         self.table.own_key()
     }
 
-    /// Changes the owner's row.
+    /// Changes the owner's row and its stamp.
     pub fn edit_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row)) {
         self.table.edit_own(now, edit);
         self.counts = None;
     }
 
-    /// The row of `name`.
+    /// Returns the row of the proxy `name`.
     pub fn get(&self, name: &str) -> Option<&Arc<Row>> {
         self.table.get(name)
     }
 
-    /// The row with this short name.
+    /// Returns the row whose owner's name has the hash `key`.
     pub fn get_by_key(&self, key: DaemonKey) -> Option<&Arc<Row>> {
         self.table.by_key(key)
     }
 
-    /// The rows of the other proxies that neither left nor are held to be down, with their short names.
+    /// Iterates over the live rows of other proxies, with the hashes of their names.
     pub fn members(&self) -> impl Iterator<Item = (DaemonKey, &Arc<Row>)> {
         let own = self.own_key();
         self.table.entries().iter().map(|it| (it.key(), &it.row)).filter(move |(key, row)| *key != own && is_live(row))
     }
 
-    /// The rows of those that are held to be down.
+    /// Iterates over the rows of proxies that are marked down and not leaving.
     pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row>> {
         self.table.down()
     }
 
-    /// How many data centres the live proxies are in, this one included.
+    /// Counts the data centres of the live proxies and this one.
     pub fn data_centre_count(&mut self) -> usize {
         self.counts().data_centres
     }
 
-    /// How many proxies guard endpoints of `service`, as far as this one knows.
+    /// Counts the live proxies whose VM belongs to `service`.
     pub fn guard_count(&mut self, service: &str) -> usize {
-        let guards = &self.counts().guards;
-        guards.binary_search_by(|it| (*it.0).cmp(service)).map_or(0, |at| guards[at].1)
+        let service_guards = &self.counts().service_guards;
+        service_guards.binary_search_by(|it| (*it.0).cmp(service)).map_or(0, |at| service_guards[at].1)
     }
 
-    /// How many services there are.
+    /// Counts the services of the live proxies.
     pub fn service_count(&mut self) -> usize {
-        self.counts().guards.len()
+        self.counts().service_guards.len()
     }
 
     fn counts(&mut self) -> &Counts {
@@ -140,28 +140,28 @@
             let live = || table.entries().iter().map(|it| &it.row).filter(|it| is_live(it));
             let mut services: Vec<&ServiceName> = live().map(|it| &it.endpoints.service).collect();
             services.sort_unstable();
-            let guards = services.chunk_by(|a, b| a == b).map(|it| (it[0].clone(), it.len())).collect();
-            // This proxy's own counts even while it leaves.
-            let mut names: Vec<&str> = live().chain([table.own()]).map(|it| &*it.data_centre).collect();
-            names.sort_unstable();
-            names.dedup();
-            Counts { guards, data_centres: names.len() }
+            let service_guards = services.chunk_by(|a, b| a == b).map(|it| (it[0].clone(), it.len())).collect();
+            // The owner's data centre counts even while the owner leaves.
+            let mut data_centres: Vec<&str> = live().chain([table.own()]).map(|it| &*it.data_centre).collect();
+            data_centres.sort_unstable();
+            data_centres.dedup();
+            Counts { service_guards, data_centres: data_centres.len() }
         })
     }
 
-    /// Takes a row in if it is newer than what is known.
+    /// Stores `row` if it is newer than the known row of its owner.
     pub fn merge(&mut self, row: Row, now: Instant) -> Merge {
         self.counts = None;
         self.table.merge(row, now)
     }
 
-    /// Takes rows in; returns those that were news, and the owner's if it had to be defended.
+    /// Merges `rows`. Returns those that were newer, and the owner's row if it was raised above a row in its name.
     pub fn merge_all(&mut self, rows: Vec<Row>, now: Instant) -> Vec<Row> {
         self.counts = None;
         self.table.merge_all(rows, now)
     }
 
-    /// Takes in where proxies are, as the store lists it; whatever they said themselves is newer.
+    /// Adds the proxies that the store lists. Rows that came from the proxies themselves are newer and stay.
     pub fn seed_from_store(&mut self, listed: impl Iterator<Item = PresenceObject>, now: Instant) {
         let rows = listed.map(|it| Row {
             daemon: it.name,
@@ -174,40 +174,40 @@
         self.merge_all(rows.collect(), now);
     }
 
-    /// Holds a proxy to be down, as of the row that was known while it was tried.
+    /// Marks the proxy `name` down if its row still has the stamp `tried`; returns whether it did.
     pub fn mark_down(&mut self, name: &str, tried: Stamp, now: Instant) -> bool {
         self.counts = None;
         self.table.mark_down(name, tried, now)
     }
 
-    /// Drops the rows of those that left or are down for long.
+    /// Drops rows whose owner left or was marked down long ago.
     pub fn remove_expired(&mut self, now: Instant) {
         if self.table.forget(now) {
             self.counts = None;
         }
     }
 
-    /// One number that differs where any row differs.
+    /// Returns a hash of all rows; directories with equal rows have equal digests.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// The table, for an exchange with another's.
+    /// Returns the underlying table for an anti-entropy exchange.
     pub fn table(&self) -> &Table<GuardedService> {
         &self.table
     }
 
-    /// Opens an exchange.
+    /// Creates the first message of an anti-entropy exchange of rows.
     pub fn compare(&self, version: Version) -> Compare {
         Compare::new(&self.table, version)
     }
 
-    /// Answers an exchange.
+    /// Responds to the first message of an exchange.
     pub fn answer_compare(&self, compare: &Compare, version: Version) -> Compared {
         compare.answer(&self.table, version)
     }
 
-    /// Ends an exchange that another opened.
+    /// Merges the rows of the last message of an exchange. Returns the response and the rows that were newer.
     pub fn answer_deliver(
         &mut self,
         deliver: rows::Deliver<GuardedService>,
@@ -218,7 +218,7 @@
     }
 }
 
-/// Whether a row's owner is to be counted on.
+/// Whether the owner of `row` neither leaves nor is marked down.
 fn is_live(row: &Row) -> bool {
     !row.leaving && !row.stamp.down
 }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -1,4 +1,7 @@
-//! What proxies tell each other: `rmp-serde` over HTTP/2, one connection for each pair.
+//! The messages between proxies: MessagePack over HTTP/2.
+//!
+//! Structs are encoded by position, enums by variant name; new fields go to the end and have a default, so that proxies
+//! of two releases understand each other.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,10 +26,10 @@
     },
 };
 
-/// A permission to send one request to an endpoint; unique for one incarnation of its guard.
+/// The number of a grant, unique within one incarnation of its guard.
 pub(super) type GrantId = u64;
 
-/// The paths of the calls.
+/// The URL paths of the calls.
 pub(super) mod path {
     pub(crate) const RESERVE: &str = "/reserve";
     pub(crate) const RUN: &str = "/run";
@@ -42,23 +45,23 @@
     pub(crate) const WATCH: &str = "/watch";
 }
 
-/// What an attempt is to the allowance for repeats.
+/// How an attempt counts against the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum AttemptKind {
-    /// The first of its request.
+    /// The first attempt of its request.
     First {
-        /// The part of it that counts as a repeat, 0 to 1: calls of repeated work do, and running work waits
-        /// for them.
+        /// The part of it that counts as a retry, 0 to 1. A nested call inherits the retry share of the request that
+        /// makes it.
         #[serde(rename = "repeat_share")]
         retry_share: f64,
     },
-    /// One more of its request; needs an allowance.
+    /// A further attempt, which needs retry budget.
     #[serde(rename = "Repeat")]
     Retry,
 }
 
 impl AttemptKind {
-    /// How much of it counts as a repeat, 0 to 1.
+    /// The part of the attempt that counts as a retry, 0 to 1.
     pub fn retry_share(self) -> f64 {
         match self {
             Self::First { retry_share } => retry_share,
@@ -67,109 +70,109 @@
     }
 }
 
-/// What a reserved place is for.
+/// Asks a guard for a grant, which permits one request to run at its endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// The ingress.
+    /// The proxy that asks.
     #[serde(rename = "from")]
     pub ingress: ProxyName,
-    /// The version in force at the ingress.
+    /// The configuration version that is active at the ingress.
     pub version: Version,
-    /// The service that must do the work.
+    /// The service that must handle the request.
     pub service: ServiceName,
-    /// The work's class.
+    /// The route of the request.
     pub route: RouteName,
-    /// Whether the work may run again.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether a suspect endpoint may be tried with it.
+    /// Whether the request may be a trial of a suspect endpoint.
     #[serde(rename = "trial")]
     pub allows_endpoint_trial: bool,
-    /// What it is to the allowance for repeats.
+    /// How the attempt counts against the retry budget.
     #[serde(rename = "arrival")]
     pub attempt_kind: AttemptKind,
-    /// Whether running work waits for this.
+    /// Whether a running request waits for this one.
     #[serde(rename = "call")]
     pub is_nested_call: bool,
-    /// Whether a caller sent it for certain, as no work at the endpoint beside the ingress can have.
+    /// Whether no request running at the ingress's own endpoint can have sent it, so that it must be a caller's.
     #[serde(rename = "certain_caller")]
     pub is_certain_caller_request: bool,
-    /// The rank of its class, or of the work that made it; 0 goes first.
+    /// The rank of its route, or of the request that makes this nested call; 0 goes first.
     pub rank: u32,
-    /// After this it is of less use to begin.
+    /// The time until the latest start with which the request can still end in time.
     #[serde(rename = "useful_for")]
     pub start_within: Duration,
-    /// Up to this standing an endpoint is good enough for it.
+    /// The worst standing that the endpoint may have.
     #[serde(rename = "accepts")]
     pub worst_standing: EndpointStanding,
-    /// What the request asks for; proxies of earlier releases don't say it, nor what follows.
+    /// Identifies equal requests. Proxies of earlier releases send neither this nor the fields below.
     #[serde(default)]
     pub fingerprint: Fingerprint,
-    /// What the ingress knows against it.
+    /// The crash record of the request at the ingress.
     #[serde(default)]
     pub case: CrashRecord,
-    /// It is the trial of a request that is held back.
+    /// Whether it is the trial of a quarantined request.
     #[serde(default, rename = "released")]
     pub is_quarantine_trial: bool,
 }
 
-/// What a guard tells with every reply.
+/// Status and load of a guard, part of its replies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct GuardReport {
-    /// What of its row changes often.
+    /// The status of the guard's proxy.
     #[serde(rename = "brief")]
     pub update: StatusUpdate,
-    /// Requests at the endpoint, or permitted.
+    /// Requests that run at the endpoint or hold a grant.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait for a grant.
     pub waiting: u32,
-    /// Its allowance for repeats is used up.
+    /// Whether the guard has no retry budget left.
     #[serde(rename = "allowance_used")]
     pub retry_budget_exhausted: bool,
 }
 
-/// Why a guard gives no place. Nothing has run.
+/// Why a guard refused a grant. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantRefusal {
-    /// The VM's endpoint is not there, leaves, or is another service's.
+    /// The VM's endpoint is missing, leaving or of another service, or the work would not end before this proxy stops.
     #[serde(rename = "Elsewhere")]
     NotServed,
-    /// The endpoint is suspect or declines, and this work is not for it.
+    /// The endpoint's standing is worse than the request accepts.
     Suspect,
-    /// The endpoint has had as many repeats as it may.
+    /// The retry budget is exhausted.
     #[serde(rename = "NoAllowance")]
     RetryBudgetExhausted,
-    /// The request ends the endpoints that work on it.
+    /// The request is quarantined because it crashes endpoints.
     Quarantined,
 }
 
-/// The answer to [`ReserveRequest`].
+/// The response to [`ReserveRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct ReserveResponse {
-    /// What the guard tells.
+    /// The guard's status and load.
     #[serde(rename = "news")]
     pub report: GuardReport,
-    /// The place, or why there is none.
+    /// The grant, or why there is none.
     pub result: Result<Grant, GrantRefusal>,
-    /// Whether callers use the route, if the guard has heard of enough of its requests.
+    /// Whether callers use the route; `None` until the guard has seen enough of its requests.
     #[serde(rename = "callers_route")]
     pub is_caller_route: Option<bool>,
-    /// What the guard knows against the request.
+    /// The crash record of the request at the guard.
     #[serde(default)]
     pub case: CrashRecord,
 }
 
-/// A place at an endpoint.
+/// Permits one request to run at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Which.
+    /// The number of the grant.
     pub id: GrantId,
     /// The guard's incarnation, in which the id is unique.
     pub guard: Incarnation,
-    /// The endpoint's life.
+    /// The incarnation of the endpoint.
     pub endpoint: EndpointId,
 }
 
-/// A request or an answer, whole.
+/// Headers and complete body of an HTTP request or response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HttpContent {
     /// End-to-end headers.
@@ -179,14 +182,14 @@
 }
 
 impl HttpContent {
-    /// Of these headers and this body.
+    /// Copies `headers` and `body`.
     pub fn new(headers: &HeaderMap, body: &[u8]) -> Self {
         let headers =
             headers.iter().map(|(name, value)| (name.as_str().into(), ByteBuf::from(value.as_bytes()))).collect();
         Self { headers, body: ByteBuf::from(body) }
     }
 
-    /// The headers; one that isn't valid is left out.
+    /// The headers, without invalid ones.
     pub fn headers(&self) -> HeaderMap {
         let valid = self.headers.iter().filter_map(|(name, value)| {
             let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
@@ -201,27 +204,27 @@
     }
 }
 
-/// Work for a reserved place.
+/// Runs a request under a grant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// The place.
+    /// The grant that permits the run.
     pub grant: Grant,
-    /// The attempt of the caller.
+    /// The id of the caller's attempt.
     #[serde(rename = "request")]
     pub request_id: Box<str>,
-    /// How much of this counts as a repeat, 0 to 1; its own calls count alike.
+    /// The part of this run that counts as a retry, 0 to 1; its nested calls inherit it.
     #[serde(rename = "repeat_share")]
     pub retry_share: f64,
-    /// The method.
+    /// The HTTP method.
     pub method: Box<str>,
-    /// Path and query.
+    /// Path and query of the URI.
     pub target: Box<str>,
     /// Headers and body.
     pub content: HttpContent,
-    /// How long the answer is waited for.
+    /// How long the ingress waits for the response.
     #[serde(rename = "left")]
     pub timeout: Duration,
-    /// What the request asks for.
+    /// Identifies equal requests.
     #[serde(default)]
     pub fingerprint: Fingerprint,
 }
@@ -229,136 +232,136 @@
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// The endpoint's whole answer.
+    /// The endpoint's complete response.
     Answered {
-        /// Its status.
+        /// The HTTP status code.
         status: u16,
         /// Headers and body.
         content: HttpContent,
-        /// How long the endpoint took.
+        /// The time from sending the request to the complete response.
         took: Duration,
     },
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// Why work did not run.
+/// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The place was given back, or the guard does not know it.
+    /// The grant was revoked, or the guard does not know it.
     NoGrant,
     /// No connection to the endpoint could be opened.
     NoConnection,
-    /// The endpoint says that it did not run it.
+    /// The endpoint declined the request without running it.
     Declined,
     /// Another incarnation answered at the endpoint's address.
     OtherInstance,
 }
 
-/// Why it is not known whether work ran.
+/// Why it is not known whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnknownReason {
     /// The connection to the endpoint broke.
     Broken,
-    /// The endpoint ended while it had the work.
+    /// The endpoint ended while the request was running.
     Ended,
-    /// What came is not the endpoint's whole answer to this request.
+    /// The response is malformed or belongs to another request.
     #[serde(rename = "Garbled")]
     MalformedAnswer,
-    /// No answer within the time that was left.
+    /// No response came within the time limit.
     #[serde(rename = "Silent")]
     TimedOut,
-    /// The guard is gone, and what it knew.
+    /// The guard has no record of the grant, for example after a restart.
     #[serde(rename = "GuardGone")]
     GuardStateLost,
 }
 
-/// The answer to [`RunRequest`].
+/// The response to [`RunRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct RunResponse {
-    /// What the guard tells.
+    /// The guard's status and load.
     #[serde(rename = "news")]
     pub report: GuardReport,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
-    /// What the guard now knows against the request.
+    /// The crash record of the request at the guard after this run.
     #[serde(default)]
     pub case: CrashRecord,
 }
 
-/// Asks what became of a place; one that was not used yet is taken back.
+/// Asks how the run of a grant ended. An unused grant is revoked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RunQuery {
-    /// The place.
+    /// The grant that permits the run.
     pub grant: Grant,
 }
 
-/// An [`RunQuery`] for a guard that the sender can't reach itself.
+/// A [`RunQuery`] that the receiver forwards, because the sender can't reach the guard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RelayedQuery {
-    /// The guard.
+    /// The peer address of the guard.
     pub to: SocketAddr,
-    /// The question.
+    /// The query to forward.
     pub ask: RunQuery,
 }
 
-/// Who calls, and how it stands.
+/// Introduces the sender on a link; sent again whenever its row or its selection changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct Hello {
-    /// The sender's row.
+    /// The sender's directory row.
     pub row: Row,
-    /// What of it changes often.
+    /// The sender's status.
     #[serde(rename = "current")]
     pub status: ProxyStatus,
-    /// The sender keeps a connection because it chose the receiver, and wants to be told how its endpoint stands.
+    /// Whether the sender selected this link. If so, the receiver keeps a link back and reports changes of its status.
     #[serde(rename = "chosen")]
     pub selected: bool,
 }
 
-/// The answer to [`Hello`].
+/// The response to [`Hello`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct HelloResponse {
-    /// The answerer's row.
+    /// The responder's directory row.
     pub row: Row,
-    /// What of it changes often.
+    /// The responder's status.
     #[serde(rename = "current")]
     pub status: ProxyStatus,
-    /// The caller's row as known here, if that is newer than what the caller says: of an earlier run, before the
-    /// caller's clock was set back.
+    /// The sender's row in the responder's directory, if newer than the one sent: left by an earlier incarnation when the
+    /// sender's clock was set back since.
     #[serde(rename = "newer")]
     pub newer_caller_row: Option<Row>,
 }
 
-/// What two proxies compare first; most of the time they agree.
+/// Opens an anti-entropy exchange; nothing more is sent if both sides agree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct StateSummary {
-    /// Differs where any row of the directories differs.
+    /// The digest of all directory rows.
     pub digest: u64,
-    /// The version in force.
+    /// The active configuration version.
     pub version: Version,
-    /// How long ago someone had the store's answer that this is the newest, as far as the sender knows.
+    /// The time since the store last confirmed to any proxy that this version is the newest, as far as the sender knows.
     pub confirmed_ago: Option<Duration>,
-    /// Differs where what is known against any request differs.
+    /// The digest of all crash records.
     #[serde(default, rename = "cases")]
     pub cases_digest: u64,
-    /// The newest era of the store that the sender heard of.
+    /// The newest store era that the sender has seen; it goes up with each restore from a backup.
     #[serde(default, rename = "era")]
     pub store_era: Option<Era>,
 }
 
-/// What a proxy knows against requests.
+/// Sends crash records to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct QuarantineExchange {
-    /// The cases.
+    /// The sender's crash records.
     pub cases: Vec<CrashRecordUpdate>,
-    /// The receiver's are wanted in return.
+    /// Whether the receiver responds with its own crash records.
     #[serde(rename = "exchange")]
     pub wants_reply: bool,
 }
 
-/// Ends an exchange of rows.
+/// Completes an anti-entropy exchange of directory rows.
 pub(super) type Deliver = crate::rows::Deliver<GuardedService>;
-/// Answers [`Deliver`].
+/// The response to [`Deliver`].
 pub(super) type Delivered = crate::rows::Delivered<GuardedService>;
