--- a/src/proxy/net.rs
+++ b/src/proxy/net.rs
@@ -1,4 +1,4 @@
-//! Sockets: how they are opened, and how a silent other side is noticed.
+//! Opens TCP sockets with options that detect an unresponsive remote side.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -10,17 +10,17 @@
     time::timeout,
 };
 
-/// How many connections may wait to be accepted: a burst of callers from one data centre.
+/// How many connections may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long written bytes may go unacknowledged: above a second's loss of packets, below the two
-/// seconds that a cut may go unnoticed.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// How long a connection is quiet before it is probed, and the pause between probes.
-const KEEPALIVE: Duration = Duration::from_secs(5);
-/// How many probes go unanswered before the connection is given up.
+/// How long written bytes may stay unacknowledged. A second of packet loss is tolerated, and a cut is detected within two
+/// seconds.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// How long a connection is idle before the first keepalive probe, and the pause between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// How many unanswered probes close the connection.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// Listens on `address`.
+/// Opens a non-blocking TCP listener on `address`.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -30,23 +30,26 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects to `address` within `limit`.
+/// Connects to `address`; fails after `limit`.
 pub(super) async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = timeout(limit, TcpStream::connect(address)).await??;
     set_socket_options(&stream)?;
     Ok(stream)
 }
 
-/// Sets what every connection needs, accepted or opened.
+/// Sets the options of an accepted or opened connection: no delay, user timeout and keepalive.
 pub(super) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE).with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Runs the tasks of a connection on this thread.
+/// Runs hyper's connection tasks on the current thread.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LocalExecutor;
 
@@ -60,12 +63,12 @@
     }
 }
 
-/// A task that ends with its handle.
+/// A task that is aborted when this handle is dropped.
 #[derive(Debug)]
 pub(super) struct AbortOnDropTask(JoinHandle<()>);
 
 impl AbortOnDropTask {
-    /// Runs `future` on this thread until it ends or the handle is dropped.
+    /// Runs `future` on the current thread.
     pub(super) fn spawn(future: impl Future<Output = ()> + 'static) -> Self {
         Self(spawn_local(future))
     }
