--- a/src/proxy/backoff.rs
+++ b/src/proxy/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls of the platform's store while it fails, and what is told of that.
+//! Exponential backoff between calls to the platform's store, with an event when the store fails or recovers.
 
 use std::time::{Duration, Instant};
 
@@ -10,30 +10,31 @@
     proxy::{Proxy, clock, events::Event},
 };
 
-/// The first pause after a failed call, and the longest: a change must be in force two seconds after
-/// the store is back, or after a connection to it went silent, and each refused call has its price.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+/// The pause after the first failed call; it doubles with each further failure.
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
+/// The longest pause. A configuration change must be active two seconds after the store is back.
+const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Pauses that grow, with jitter, while the store fails.
+/// Exponential backoff with jitter for a sequence of store calls.
 pub(super) struct Backoff<'a> {
     proxy: &'a Proxy,
+    /// Failed calls since the last answer.
     failures: u32,
-    /// When the store last answered; at first, when it was first to be called.
-    heard: Instant,
+    /// When the store last answered; before its first answer, when this was created.
+    last_answer: Instant,
 }
 
 impl<'a> Backoff<'a> {
-    /// Before the first call.
+    /// Creates a backoff without failures.
     pub(super) fn new(proxy: &'a Proxy) -> Self {
-        Self { proxy, failures: 0, heard: clock::now() }
+        Self { proxy, failures: 0, last_answer: clock::now() }
     }
 
     fn silent_ms(&self) -> u128 {
-        clock::now().saturating_duration_since(self.heard).as_millis()
+        clock::now().saturating_duration_since(self.last_answer).as_millis()
     }
 
-    /// Tells the first failure of a row, and pauses.
+    /// Counts a failed call and pauses. Emits an event for the first failure in a row.
     pub(super) async fn pause_after_failure(&mut self, error: &StoreFailure) {
         self.failures += 1;
         metrics::counter!("jayreach_store_failures_total").increment(1);
@@ -42,17 +43,17 @@
             let silent_ms = self.silent_ms();
             self.proxy.events.emit(&Event::Store { reachable: false, why: &why, failures: 1, silent_ms });
         }
-        let pause = FIRST_PAUSE.saturating_mul(1 << (self.failures - 1).min(8)).min(LONGEST_PAUSE);
+        let pause = INITIAL_PAUSE.saturating_mul(1 << (self.failures - 1).min(8)).min(MAX_PAUSE);
         sleep(pause.mul_f64(rand::rng().random_range(0.6..1.2))).await;
     }
 
-    /// Tells that the store answers again, if it did not.
+    /// Resets the backoff after an answer. Emits an event if calls had failed.
     pub(super) fn record_answer(&mut self) {
         if self.failures > 0 {
             let (failures, silent_ms) = (self.failures, self.silent_ms());
             self.proxy.events.emit(&Event::Store { reachable: true, why: "answered", failures, silent_ms });
             self.failures = 0;
         }
-        self.heard = clock::now();
+        self.last_answer = clock::now();
     }
 }
--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -1,4 +1,7 @@
-//! What is learnt of the configuration from the platform's store.
+//! Follows the configuration in the platform's store.
+//!
+//! Only a few proxies watch the store; the others get new versions by gossip. A watcher that loses the store asks a peer to
+//! watch in its place.
 
 use std::{
     rc::Rc,
@@ -14,115 +17,116 @@
     proxy::{Proxy, backoff::Backoff, clock, events::Event, message::path, peer_link::Link},
 };
 
-/// How often a proxy that doesn't watch looks whether it should.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// How long a proxy that has just started looks for the others before it decides whether to watch: alone it would always.
-const JOIN_WAIT: Duration = Duration::from_millis(2_500);
-/// After a change the watch is taken up again this much later: changes come in quick series at times, each
-/// watch has its price, and a change must be in force within two seconds.
-const SETTLE: Duration = Duration::from_millis(400);
+/// How often a proxy that does not watch checks whether it should.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a starting proxy waits for the list of members, without which it would always watch.
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The pause after a change before the next watch, so that a quick series of changes costs few store calls.
+const CHANGE_PAUSE: Duration = Duration::from_millis(400);
 
-/// How long a peer may take to say whether it watches.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
+/// How long a peer may take to answer a request to substitute.
+const SUBSTITUTE_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Proxy {
-    /// Follows the configuration for ever: at the store when it is this proxy's turn, else as others tell it.
+    /// Watches the store whenever this proxy is a watcher. Never returns.
     pub(super) async fn follow_config(self: Rc<Self>) {
         let start = clock::now();
-        while !self.members_loaded.get() && clock::now() < start + JOIN_WAIT {
-            sleep(LOOK_EVERY / 4).await;
+        while !self.members_loaded.get() && clock::now() < start + MEMBERS_TIMEOUT {
+            sleep(WATCHER_CHECK_INTERVAL / 4).await;
         }
         loop {
-            while !self.watches(start) {
-                sleep(LOOK_EVERY).await;
+            while !self.is_watcher(start) {
+                sleep(WATCHER_CHECK_INTERVAL).await;
             }
-            self.turn_watching(true);
+            self.set_watching(true);
             self.watch_store(start).await;
-            self.turn_watching(false);
+            self.set_watching(false);
         }
     }
 
-    fn turn_watching(&self, begins: bool) {
-        self.watching.set(begins);
-        self.events.emit(&Event::Watch { begins, confirmed_ms: self.confirmed_ms() });
+    fn set_watching(&self, watching: bool) {
+        self.watching.set(watching);
+        self.events.emit(&Event::Watch { begins: watching, confirmed_ms: self.confirmed_ms() });
     }
 
-    /// Reads the configuration once at the start, at a tenth of the price: whoever has a newer one says so. Where a whole fleet
-    /// starts at once nobody has one.
+    /// Reads the configuration once at start, since no peer has one while the whole fleet starts. The read may be stale,
+    /// which costs a tenth; a newer version comes by gossip.
     pub(super) async fn read_initial_config(self: Rc<Self>) {
         match self.store.config(Consistency::Stale).await {
-            Ok(it) => _ = self.take_config(it),
-            Err(error) => log::debug!("no first configuration: {error}"),
+            Ok(it) => _ = self.apply_config(it),
+            Err(error) => log::debug!("reading the initial configuration from the store: {error}"),
         }
     }
 
-    /// Whether it is this proxy's turn to watch the store, or it does so in another's place.
-    fn watches(&self, start: Instant) -> bool {
+    /// Whether this proxy should watch the store, by its rank or as a substitute.
+    fn is_watcher(&self, start: Instant) -> bool {
         if self.substitution.get().is_substitute(clock::now()) {
             return true;
         }
         let mut directory = self.directory.borrow_mut();
         let data_centres = directory.data_centre_count();
         let data_centre = &directory.own().data_centre;
-        let near = directory.members().filter(|it| it.1.data_centre == *data_centre).map(|it| it.0);
-        let rank = watchers::watch_rank(directory.own_key(), near);
+        let local_members = directory.members().filter(|it| it.1.data_centre == *data_centre).map(|it| it.0);
+        let rank = watchers::watch_rank(directory.own_key(), local_members);
         match self.confirmed_ago() {
             Some(it) => watchers::is_watcher(rank, data_centres, it),
             None => watchers::is_initial_watcher(rank, data_centres, clock::now().saturating_duration_since(start)),
         }
     }
 
-    /// How long ago anyone had the store's answer that the configuration in force is the newest, as far as known.
+    /// The time since the store last confirmed to any proxy that the active configuration is the newest, as far as this proxy
+    /// knows.
     pub(super) fn confirmed_ago(&self) -> Option<Duration> {
         self.config_confirmed_at.get().map(|it| clock::now().saturating_duration_since(it))
     }
 
-    /// [`Self::confirmed_ago`] for people.
+    /// [`Self::confirmed_ago`] in milliseconds.
     pub(super) fn confirmed_ms(&self) -> Option<u128> {
         self.confirmed_ago().map(|it| it.as_millis())
     }
 
-    /// Takes in how long ago someone had the store's answer.
+    /// Records that the store confirmed the active version `ago` before now; an older confirmation changes nothing.
     pub(super) fn record_confirmation(&self, ago: Duration) {
         let at = clock::now().checked_sub(ago);
         self.config_confirmed_at.set(self.config_confirmed_at.get().max(at));
     }
 
-    /// Follows the configuration at the store while it is this proxy's turn.
+    /// Reads and watches the configuration in the store while this proxy is a watcher.
     async fn watch_store(self: &Rc<Self>, start: Instant) {
         let mut backoff = Backoff::new(self);
-        while self.watches(start) {
-            let asked = clock::now();
+        while self.is_watcher(start) {
+            let requested_at = clock::now();
             let object = match self.store.config(Consistency::Linearizable).await {
                 Ok(it) => it,
                 Err(error) => {
-                    self.lost_store();
+                    self.store_failed();
                     backoff.pause_after_failure(&error).await;
                     continue;
                 }
             };
             backoff.record_answer();
-            self.regained_store();
-            let mut position = self.take_config(object);
-            self.record_confirmation(clock::now().saturating_duration_since(asked));
-            while self.watches(start) {
+            self.store_answered();
+            let mut position = self.apply_config(object);
+            self.record_confirmation(clock::now().saturating_duration_since(requested_at));
+            while self.is_watcher(start) {
                 let watch = StoreWatch::with_jitter(rand::rng().random());
                 match self.store.watch_config(position, watch).await {
                     Ok(WatchEnd::Went(object)) => {
                         backoff.record_answer();
-                        self.regained_store();
+                        self.store_answered();
                         let changed = object.config.is_some();
-                        position = self.take_config(object);
+                        position = self.apply_config(object);
                         self.record_confirmation(Duration::ZERO);
                         if changed {
-                            sleep(SETTLE).await;
+                            sleep(CHANGE_PAUSE).await;
                         }
                     }
                     Ok(WatchEnd::HistoryGone) => break,
                     Err(error) => {
-                        self.lost_store();
+                        self.store_failed();
                         backoff.pause_after_failure(&error).await;
-                        // It may be restored from a backup, and what was changed meanwhile stand before this position.
+                        // The store may have been restored from a backup, where a later change can have a revision before
+                        // this position: read again.
                         break;
                     }
                 }
@@ -130,38 +134,38 @@
         }
     }
 
-    /// The store answers this watcher.
-    fn regained_store(&self) {
+    /// Records that the store answered this watcher.
+    fn store_answered(&self) {
         self.store_unreachable.set(false);
         let mut substitution = self.substitution.get();
         substitution.store_answered();
         self.substitution.set(substitution);
     }
 
-    /// The store gives this watcher no answer. All watchers, and only they, may have lost their way to it: another is asked
-    /// to watch at once, since the others would notice only when the last confirmation has grown old.
-    fn lost_store(self: &Rc<Self>) {
+    /// Records that a store call of this watcher failed, and asks for a substitute. Otherwise, if all watchers lost the
+    /// store, other proxies would begin to watch only when the last confirmation has become old.
+    fn store_failed(self: &Rc<Self>) {
         self.store_unreachable.set(true);
         let mut substitution = self.substitution.get();
         if substitution.should_request_substitute(clock::now()) {
-            spawn_local(Rc::clone(self).ask_for_substitute());
+            spawn_local(Rc::clone(self).request_substitute());
         }
         self.substitution.set(substitution);
     }
 
-    /// Asks one peer after the other, until one watches that sees the store, as far as it knows.
-    async fn ask_for_substitute(self: Rc<Self>) {
+    /// Asks linked peers in random order until one agrees to watch.
+    async fn request_substitute(self: Rc<Self>) {
         let mut links: Vec<Rc<Link>> =
             self.links.borrow().iter().map(|it| Rc::clone(&it.1)).filter(|it| it.is_connected()).collect();
         links.shuffle(&mut rand::rng());
         for link in links {
-            if link.call_within::<_, bool>(ASK_LIMIT, path::WATCH, &()).await == Some(true) {
+            if link.call_within::<_, bool>(SUBSTITUTE_REQUEST_TIMEOUT, path::WATCH, &()).await == Some(true) {
                 return;
             }
         }
     }
 
-    /// Watches in the place of a peer that lost its way to the store; false if this proxy has lost it, too.
+    /// Starts to watch for a peer that cannot reach the store. Returns false if this proxy watches and cannot reach it either.
     pub(super) fn start_substituting(&self) -> bool {
         if self.watching.get() {
             return !self.store_unreachable.get();
@@ -172,7 +176,7 @@
         true
     }
 
-    fn take_config(&self, object: ConfigObject) -> Position {
+    fn apply_config(&self, object: ConfigObject) -> Position {
         match object.config {
             Some(Ok(it)) => self.activate_config(it, "store"),
             Some(Err(error)) => {
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -1,4 +1,4 @@
-//! How a proxy finds the others at its start: their objects in the platform's store, and its own among them.
+//! Joins the fleet at start: reads the presence objects of the other proxies from the platform's store and writes its own.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,17 +10,17 @@
     proxy::{Proxy, backoff::Backoff, clock},
 };
 
-/// How long after its own object was written a proxy lists the others again; at that time a fleet that starts for the
-/// first time is complete.
-const LIST_AGAIN: Duration = Duration::from_millis(1_000);
-/// Within this time after the store was restored from a backup proxies write their objects again, not all at once.
-const WRITE_AGAIN: Duration = Duration::from_millis(1_000);
-/// How many such listings may be stale ones, which cost a tenth: one that lags by seconds has caught up by then.
-const STALE_LOOKS: u32 = 4;
+/// The delay between writing the own presence object and listing all objects again, so that proxies which start together
+/// have written theirs.
+const RELIST_DELAY: Duration = Duration::from_millis(1_000);
+/// Proxies write their objects again after a random delay up to this, once the store was restored from a backup.
+const MAX_REPUBLISH_DELAY: Duration = Duration::from_millis(1_000);
+/// How many listings are tried as stale reads, which cost a tenth, before a linearizable one.
+const STALE_LISTINGS: u32 = 4;
 
 impl Proxy {
-    /// Finds the others, and says where this proxy is unless the store has that from an earlier run. Of two that start
-    /// together for the first time, the one that lists later sees the other.
+    /// Lists the other proxies. Unless the store already holds this proxy's object, writes it and lists again: of two
+    /// proxies that start together, the one that lists later sees the other.
     pub(super) async fn join_fleet(self: Rc<Self>) {
         let presence = self.presence();
         let mut backoff = Backoff::new(&self);
@@ -32,22 +32,22 @@
         };
         backoff.record_answer();
         let is_listed = listed.objects.contains(&presence);
-        self.take_list(listed);
+        self.merge_listing(listed);
         if is_listed {
             return;
         }
         while let Err(error) = self.store.put_presence(&presence).await {
             backoff.pause_after_failure(&error).await;
         }
-        self.list_after(&presence).await;
+        self.list_after_write(&presence).await;
     }
 
-    /// Writes what this proxy had written again, each time the store has been restored from a backup.
+    /// Writes this proxy's objects again each time the store was restored from a backup.
     pub(super) async fn republish_after_restore(self: Rc<Self>) {
         loop {
             self.store.restored().await;
-            // A whole fleet hears of it within a few seconds.
-            sleep(WRITE_AGAIN.mul_f64(rand::rng().random_range(0.0..1.0))).await;
+            // Spreads the writes of the fleet, whose proxies notice the restore within a few seconds.
+            sleep(MAX_REPUBLISH_DELAY.mul_f64(rand::rng().random_range(0.0..1.0))).await;
             let presence = self.presence();
             let mut backoff = Backoff::new(&self);
             while let Err(error) = self.store.put_presence(&presence).await {
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Lists the others once more, as they are after this proxy's own object was written.
-    async fn list_after(&self, presence: &PresenceObject) {
+    /// Lists the other proxies until a listing is newer than this proxy's own object.
+    async fn list_after_write(&self, presence: &PresenceObject) {
         let mut backoff = Backoff::new(self);
-        for look in 0.. {
-            sleep(LIST_AGAIN.mul_f64(rand::rng().random_range(0.7..1.3))).await;
-            let consistency = if look < STALE_LOOKS { Consistency::Stale } else { Consistency::Linearizable };
+        for attempt in 0.. {
+            sleep(RELIST_DELAY.mul_f64(rand::rng().random_range(0.7..1.3))).await;
+            let consistency = if attempt < STALE_LISTINGS { Consistency::Stale } else { Consistency::Linearizable };
             match self.store.presences(consistency).await {
                 Ok(it) => {
                     backoff.record_answer();
-                    // A stale listing that holds it is newer than it.
+                    // A stale listing that contains the object is newer than the write.
                     let is_listed = it.objects.contains(presence);
-                    self.take_list(it);
+                    self.merge_listing(it);
                     if is_listed || consistency == Consistency::Linearizable {
                         return;
                     }
@@ -89,13 +89,13 @@
         }
     }
 
-    fn take_list(&self, list: Listing<PresenceObject>) {
-        for it in &list.skipped {
+    fn merge_listing(&self, listing: Listing<PresenceObject>) {
+        for it in &listing.skipped {
             self.report_skipped_entry("store", &it.name, &it.why);
         }
-        // An empty one may be older than all the fleet.
-        self.members_loaded.set(self.members_loaded.get() || !list.objects.is_empty());
-        let listed = list.objects.into_iter().filter(|it| it.name != self.name);
+        // An empty listing may be a stale read from before the fleet started.
+        self.members_loaded.set(self.members_loaded.get() || !listing.objects.is_empty());
+        let listed = listing.objects.into_iter().filter(|it| it.name != self.name);
         self.directory.borrow_mut().seed_from_store(listed, clock::now());
         self.members_changed.notify_one();
     }
