--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -1,4 +1,4 @@
-//! Links to other proxies: one HTTP/2 connection each, opened ahead of need and probed in use.
+//! The link to another proxy: one HTTP/2 connection, opened before it is needed and probed while calls are open.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,97 +28,97 @@
     rows::{DaemonKey, Incarnation, Stamp, daemon_key},
 };
 
-/// How long a connection may take to open: one lost packet costs a second.
+/// How long a connection may take to open; a lost SYN packet delays it by a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// While calls are under way, the other side is probed this often.
-const PROBE_EVERY: Duration = Duration::from_millis(400);
-/// A probe unanswered for this long ends the connection: above the resending of a few lost packets,
-/// and together with `PROBE_EVERY` below the two seconds in which a silent path should be left.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The longest answer of a peer, in bytes: an endpoint's whole answer and what is around it.
-const REPLY_LIMIT: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
-
-/// Why a call brought no answer.
+/// The pause between HTTP/2 pings while calls are open.
+const PING_INTERVAL: Duration = Duration::from_millis(400);
+/// A ping unanswered for this long closes the connection. It covers the retransmission of a few packets; with
+/// `PING_INTERVAL` a dead path is detected within two seconds.
+const PING_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The longest response of a peer, in bytes: an endpoint's response and its envelope.
+const MAX_REPLY_BYTES: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
+
+/// Why a call to a peer failed.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
-    /// There is no connection; nothing was sent.
+    /// No connection is open; nothing was sent.
     #[error("not connected")]
     NotConnected,
-    /// The connection broke; the call may have been taken in.
-    #[error("lost: {0}")]
+    /// The connection broke; the peer may have handled the call.
+    #[error("connection lost: {0}")]
     Lost(#[from] hyper::Error),
-    /// The body broke off, or isn't what was asked for.
-    #[error("not understood: {0}")]
+    /// The response body is incomplete, too long or not decodable.
+    #[error("malformed response: {0}")]
     Malformed(Box<str>),
-    /// The peer refused the call.
-    #[error("refused with status {0}")]
+    /// The peer responded with another status than 200.
+    #[error("response has status {0}")]
     Refused(StatusCode),
 }
 
-/// A connection may take this long to open, or to come back, before others are linked to in its place.
-const OPENING: Duration = Duration::from_millis(700);
+/// A link without a connection for this long is unreachable, and another peer is selected instead.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(700);
 
-/// The link to one proxy.
+/// A link to one proxy, connected or not.
 pub(super) struct Link {
-    /// Where the proxy is.
+    /// The proxy's address for peers.
     pub(super) address: SocketAddr,
-    /// The hash of its name.
+    /// The hash of the proxy's name.
     pub(super) key: DaemonKey,
-    /// Whether it is in this proxy's data centre.
+    /// Whether the peer is in this proxy's data centre.
     pub(super) same_data_centre: bool,
-    /// This proxy chose it.
+    /// Whether this proxy selected the peer.
     pub(super) selected: Cell<bool>,
-    /// It chose this proxy.
+    /// Whether the peer selected this proxy.
     pub(super) selected_by_peer: Cell<bool>,
-    /// Calls that have no answer yet.
-    calls: Cell<u32>,
-    /// Since when there is no connection; `None` while there is one.
+    /// Calls without a response so far.
+    open_calls: Cell<u32>,
+    /// When the connection was lost, or the link created; `None` while connected.
     down_since: Cell<Option<Instant>>,
-    /// The run of the proxy and its count of turns, with what it then said of its endpoint.
+    /// The standing of the peer's endpoint, with the incarnation and status revision of the peer that reported it.
     standing: Cell<(Incarnation, u64, EndpointStanding)>,
     sender: RefCell<Option<SendRequest<Full<Bytes>>>>,
     health: RefCell<PathHealth>,
-    /// Running and waiting there as last told, and when.
-    told: Cell<(u32, Instant)>,
-    /// Places asked for since then.
-    asked: Cell<u32>,
-    /// There is something to tell the proxy.
-    greet: Notify,
-    /// All of our row is to be told, not just the part that changes often.
-    fully: Cell<bool>,
+    /// The number of running and waiting requests that the peer last reported, and when.
+    reported_load: Cell<(u32, Instant)>,
+    /// Grants requested since that report.
+    reserve_requests: Cell<u32>,
+    /// Wakes the task that sends hellos and status updates.
+    send_requested: Notify,
+    /// Whether to send a whole hello instead of a status update.
+    hello_requested: Cell<bool>,
 }
 
-/// An open connection; ends with this.
+/// An open connection of a link, closed on drop.
 pub(super) struct LinkConnection {
     link: Rc<Link>,
-    ended: Rc<Notify>,
+    closed: Rc<Notify>,
     _task: AbortOnDropTask,
 }
 
 impl LinkConnection {
-    /// Waits until the connection is gone.
+    /// Waits until the connection is closed.
     pub(super) async fn ended(&self) {
-        self.ended.notified().await;
+        self.closed.notified().await;
     }
 }
 
 impl Drop for LinkConnection {
     fn drop(&mut self) {
-        self.link.closed();
+        self.link.set_closed();
     }
 }
 
-/// A call that has no answer yet.
-struct CountedCall<'a>(&'a Link);
+/// Counts an open call until dropped.
+struct OpenCallGuard<'a>(&'a Link);
 
-impl Drop for CountedCall<'_> {
+impl Drop for OpenCallGuard<'_> {
     fn drop(&mut self) {
-        self.0.calls.set(self.0.calls.get() - 1);
+        self.0.open_calls.set(self.0.open_calls.get() - 1);
     }
 }
 
 impl Link {
-    /// A link that is not connected yet.
+    /// Creates an unconnected link to the owner of `row`.
     pub(super) fn new(row: &Row, same_data_centre: bool) -> Self {
         Self {
             address: row.peers,
@@ -126,115 +126,115 @@
             same_data_centre,
             selected: Cell::new(false),
             selected_by_peer: Cell::new(false),
-            calls: Cell::new(0),
+            open_calls: Cell::new(0),
             down_since: Cell::new(Some(clock::now())),
             standing: Cell::default(),
             sender: RefCell::default(),
             health: RefCell::default(),
-            told: Cell::new((0, Instant::now())),
-            asked: Cell::new(0),
-            greet: Notify::new(),
-            fully: Cell::new(true),
+            reported_load: Cell::new((0, Instant::now())),
+            reserve_requests: Cell::new(0),
+            send_requested: Notify::new(),
+            hello_requested: Cell::new(true),
         }
     }
 
-    /// A connection of its own to a row's owner, for a few calls.
+    /// Opens a connection to the owner of `row` outside the kept links, for a few calls.
     pub(super) async fn open(row: &Row) -> Result<(Rc<Self>, LinkConnection), LinkError> {
         let link = Rc::new(Self::new(row, false));
-        let connected = link.connect().await?;
-        Ok((link, connected))
+        let connection = link.connect().await?;
+        Ok((link, connection))
     }
 
-    /// Connects.
+    /// Opens the connection of this link.
     pub(super) async fn connect(self: &Rc<Self>) -> Result<LinkConnection, LinkError> {
         let stream = net::connect(self.address, CONNECT_TIMEOUT).await.map_err(|_| LinkError::NotConnected)?;
         let (sender, connection) = Builder::new(LocalExecutor)
             .timer(TokioTimer::new())
-            .keep_alive_interval(PROBE_EVERY)
-            .keep_alive_timeout(PROBE_TIMEOUT)
+            .keep_alive_interval(PING_INTERVAL)
+            .keep_alive_timeout(PING_TIMEOUT)
             .handshake(TokioIo::new(stream))
             .await?;
-        let ended = Rc::new(Notify::new());
+        let closed = Rc::new(Notify::new());
         let task = {
-            let ended = Rc::clone(&ended);
+            let closed = Rc::clone(&closed);
             let link = Rc::clone(self);
             AbortOnDropTask::spawn(async move {
                 if let Err(error) = connection.await {
-                    log::debug!("the connection to {} ended: {error}", link.address);
+                    log::debug!("connection to peer {}: {error}", link.address);
                 }
-                link.closed();
-                ended.notify_one();
+                link.set_closed();
+                closed.notify_one();
             })
         };
         *self.sender.borrow_mut() = Some(sender);
         self.down_since.set(None);
-        Ok(LinkConnection { link: Rc::clone(self), ended, _task: task })
+        Ok(LinkConnection { link: Rc::clone(self), closed, _task: task })
     }
 
-    fn closed(&self) {
+    fn set_closed(&self) {
         if self.sender.borrow_mut().take().is_some() {
             self.down_since.set(Some(clock::now()));
         }
     }
 
-    /// For how long there has been no connection; zero while there is one.
+    /// How long there has been no connection; zero while connected.
     pub(super) fn down_for(&self, now: Instant) -> Duration {
         self.down_since.get().map_or(Duration::ZERO, |it| now.saturating_duration_since(it))
     }
 
-    /// Whether calls can be sent, or soon may.
+    /// Whether the link is connected, or has been unconnected only for a short time.
     pub(super) fn is_reachable(&self, now: Instant) -> bool {
-        self.down_for(now) < OPENING
+        self.down_for(now) < UNREACHABLE_AFTER
     }
 
-    /// Whether there is no connection yet, and may be one soon.
+    /// Whether the link has been unconnected only for a short time.
     pub(super) fn is_opening(&self, now: Instant) -> bool {
         !self.is_connected() && self.is_reachable(now)
     }
 
-    /// Whether neither side chose the other and nothing is under way.
+    /// Whether neither side selected the other and no call is open.
     pub(super) fn is_unused(&self) -> bool {
-        !self.selected.get() && !self.selected_by_peer.get() && self.calls.get() == 0
+        !self.selected.get() && !self.selected_by_peer.get() && self.open_calls.get() == 0
     }
 
-    /// How far the proxy's endpoint is trusted, as last told.
+    /// The last reported standing of the peer's endpoint.
     pub(super) fn standing(&self) -> EndpointStanding {
         self.standing.get().2
     }
 
-    /// Takes in how the proxy's endpoint stands; whether that is news.
-    pub(super) fn update_standing(&self, stamp: Stamp, current: ProxyStatus) -> bool {
-        let (incarnation, turns, before) = self.standing.get();
-        if (stamp.incarnation, current.revision) <= (incarnation, turns) {
+    /// Stores the standing of the peer's endpoint unless it is older than the known one. Returns whether the standing changed.
+    pub(super) fn update_standing(&self, stamp: Stamp, status: ProxyStatus) -> bool {
+        let (incarnation, revision, before) = self.standing.get();
+        if (stamp.incarnation, status.revision) <= (incarnation, revision) {
             return false;
         }
-        self.standing.set((stamp.incarnation, current.revision, current.standing));
-        before != current.standing
+        self.standing.set((stamp.incarnation, status.revision, status.standing));
+        before != status.standing
     }
 
-    /// Has our whole row told, and the other's asked for.
+    /// Requests that a hello is sent, whose response contains the peer's row.
     pub(super) fn request_hello(&self) {
-        self.fully.set(true);
-        self.greet.notify_one();
+        self.hello_requested.set(true);
+        self.send_requested.notify_one();
     }
 
-    /// Has the part of our row told that changes often.
+    /// Requests that a status update is sent.
     pub(super) fn request_status_update(&self) {
-        self.greet.notify_one();
+        self.send_requested.notify_one();
     }
 
-    /// Waits until there is something to tell; true if that is our whole row.
+    /// Waits until a hello or a status update is requested. Returns true for a hello.
     pub(super) async fn wait_for_request(&self) -> bool {
-        self.greet.notified().await;
-        self.fully.replace(false)
+        self.send_requested.notified().await;
+        self.hello_requested.replace(false)
     }
 
-    /// Whether calls can be sent.
+    /// Whether the link has an open connection.
     pub(super) fn is_connected(&self) -> bool {
         self.sender.borrow().as_ref().is_some_and(|it| !it.is_closed())
     }
 
-    /// Calls the peer. Dropping the future tells the peer to stop.
+    /// Calls the peer. Dropping the future resets the HTTP/2 stream, which cancels the call at the peer.
     pub(super) async fn call<Req: Serialize, Resp: DeserializeOwned>(
         &self,
         path: &'static str,
@@ -242,19 +242,19 @@
     ) -> Result<Resp, LinkError> {
         let sender = self.sender.borrow().clone();
         let Some(mut sender) = sender else { return Err(LinkError::NotConnected) };
-        self.calls.set(self.calls.get() + 1);
-        let _counted = CountedCall(self);
-        let body = rmp_serde::to_vec(req).expect("messages can be coded");
+        self.open_calls.set(self.open_calls.get() + 1);
+        let _open = OpenCallGuard(self);
+        let body = rmp_serde::to_vec(req).expect("messages can be encoded");
         let mut http = Request::new(Full::new(Bytes::from(body)));
         *http.method_mut() = Method::POST;
-        *http.uri_mut() = format!("http://{}{path}", self.address).parse().expect("an address makes a URI");
+        *http.uri_mut() = format!("http://{}{path}", self.address).parse().expect("an address and a path form a URI");
         if sender.ready().await.is_err() {
             return Err(LinkError::NotConnected);
         }
         let resp = sender.send_request(http).await?;
         self.health.borrow_mut().record_success();
         let status = resp.status();
-        let body = client::collect_body(resp.into_body(), REPLY_LIMIT)
+        let body = client::collect_body(resp.into_body(), MAX_REPLY_BYTES)
             .await
             .map_err(|it| LinkError::Malformed(it.to_string().into()))?;
         if status != StatusCode::OK {
@@ -263,7 +263,7 @@
         rmp_serde::from_slice(&body).map_err(|it| LinkError::Malformed(it.to_string().into()))
     }
 
-    /// Calls the peer, for at most `limit`.
+    /// Calls the peer and waits at most `limit`. Failures are logged and give `None`.
     pub(super) async fn call_within<Req: Serialize, Resp: DeserializeOwned>(
         &self,
         limit: Duration,
@@ -273,48 +273,48 @@
         match timeout(limit, self.call(path, req)).await {
             Ok(Ok(it)) => Some(it),
             Ok(Err(error)) => {
-                log::debug!("calling {} at {path}: {error}", self.address);
+                log::debug!("call of {path} at peer {}: {error}", self.address);
                 None
             }
             Err(_) => {
-                log::debug!("calling {} at {path}: no answer in {limit:?}", self.address);
+                log::debug!("call of {path} at peer {}: no response in {limit:?}", self.address);
                 None
             }
         }
     }
 
-    /// The peer gave no answer, or can't be reached.
+    /// Records that a call got no response. It lets the link back off.
     pub(super) fn record_failure(&self, now: Instant) {
         self.health.borrow_mut().record_failure(now);
     }
 
-    /// Whether the peer, though connected, should be asked last: its last calls failed.
+    /// Whether the last calls failed, so that other peers should be asked first.
     pub(super) fn is_backing_off(&self, now: Instant) -> bool {
         self.health.borrow().is_backing_off(now)
     }
 
-    /// Takes in the load that the peer told.
+    /// Stores the load that the peer reported.
     pub(super) fn record_load(&self, load: u32, now: Instant) {
-        self.told.set((load, now));
-        self.asked.set(0);
+        self.reported_load.set((load, now));
+        self.reserve_requests.set(0);
     }
 
-    /// How long ago the peer told its load.
+    /// The time since the peer reported its load.
     pub(super) fn load_age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.told.get().1)
+        now.saturating_duration_since(self.reported_load.get().1)
     }
 
-    /// Counts a place that is asked for.
+    /// Counts a requested grant into the estimated load.
     pub(super) fn count_reserve_request(&self) {
-        self.asked.set(self.asked.get() + 1);
+        self.reserve_requests.set(self.reserve_requests.get() + 1);
     }
 
-    /// The load as last told, with what was asked for since; it fades, since work ends.
+    /// The last reported load plus the grants requested since. It decays, since requests end.
     pub(super) fn estimated_load(&self, now: Instant) -> u32 {
-        /// What was told loses half its meaning in about the length of a piece of work.
-        const FADES: Duration = Duration::from_millis(1_500);
-        let (load, at) = self.told.get();
-        let age = now.saturating_duration_since(at).as_secs_f32() / FADES.as_secs_f32();
-        ((load + self.asked.get()) as f32 * (-age).exp2()).round() as u32
+        /// About the duration of a request.
+        const HALF_LIFE: Duration = Duration::from_millis(1_500);
+        let (load, at) = self.reported_load.get();
+        let age = now.saturating_duration_since(at).as_secs_f32() / HALF_LIFE.as_secs_f32();
+        ((load + self.reserve_requests.get()) as f32 * (-age).exp2()).round() as u32
     }
 }
