--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -1,4 +1,4 @@
-//! Links to other proxies: which are kept, and keeping them open.
+//! Selects the proxies to link to and keeps the links connected. A peer that stays unreachable is marked down.
 
 use std::{
     cell::Cell,
@@ -25,31 +25,32 @@
     },
 };
 
-/// The first pause before a peer is tried again, and the longest: a proxy that was restarted while
-/// the store is away learns all it knows from peers that try it.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
-/// A peer that can't be reached for this long is held to be down, unless most others can't be reached either.
-const DOWN_AFTER: Duration = Duration::from_secs(40);
-/// A peer that chose this proxy and can't be reached for this long is left alone; one that is back says hello itself.
-const LEFT_ALONE_AFTER: Duration = Duration::from_secs(5);
-/// Whom to link to is chosen anew at least this often, since peers become unreachable without a word,
-const CHOOSE_EVERY: Duration = Duration::from_millis(500);
-/// and at most this often, since a fleet that restarts says much in a second.
-const CHOOSE_PAUSE: Duration = Duration::from_millis(100);
-/// With so many services or fewer, links to all of them are opened ahead of need.
-const ALL_SERVICES: usize = 8;
-/// Beyond that a service's links are kept for this long after its last request.
-const NEEDED_FOR: Duration = Duration::from_secs(300);
-
-/// The services that requests came here for, and when last; sorted.
+/// The first pause before a reconnection.
+const INITIAL_RECONNECT_PAUSE: Duration = Duration::from_millis(150);
+/// The longest pause before a reconnection. A proxy restarted while the store is unreachable depends on peers that reconnect
+/// to it.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(1_500);
+/// A peer that is unreachable for this long is marked down, unless most peers are unreachable.
+const MARK_DOWN_AFTER: Duration = Duration::from_secs(40);
+/// A link is no longer kept on behalf of a peer that is unreachable for this long. The peer sends a hello when it is back.
+const DROP_PEER_SELECTION_AFTER: Duration = Duration::from_secs(5);
+/// The longest pause between two selections of links, which notice unreachable peers.
+const MAX_UPDATE_PAUSE: Duration = Duration::from_millis(500);
+/// The shortest pause between two selections of links, for times with many changes of members.
+const MIN_UPDATE_PAUSE: Duration = Duration::from_millis(100);
+/// In a fleet with up to this many services, links to all of them are opened before any request needs them.
+const MAX_SERVICES_LINKED_AHEAD: usize = 8;
+/// In a larger fleet, the links to a service are kept for this long after its last request.
+const SERVICE_RETENTION: Duration = Duration::from_secs(300);
+
+/// Services requested at this ingress, with the time of the last request; sorted by name.
 #[derive(Debug, Default)]
 pub(super) struct RecentServices(Vec<(ServiceName, Instant)>);
 
 impl RecentServices {
-    /// A request for `service` came; whether that is news.
-    fn note(&mut self, service: &str, now: Instant) -> bool {
-        self.0.retain(|it| now.saturating_duration_since(it.1) < NEEDED_FOR);
+    /// Records a request for `service`. Returns whether the service was not listed before.
+    fn record_request(&mut self, service: &str, now: Instant) -> bool {
+        self.0.retain(|it| now.saturating_duration_since(it.1) < SERVICE_RETENTION);
         match self.0.binary_search_by(|it| (*it.0).cmp(service)) {
             Ok(at) => {
                 self.0[at].1 = now;
@@ -62,24 +63,24 @@
         }
     }
 
-    fn has(&self, service: &str) -> bool {
+    fn contains(&self, service: &str) -> bool {
         self.0.binary_search_by(|it| (*it.0).cmp(service)).is_ok()
     }
 }
 
 impl Proxy {
-    /// The link to the proxy `name`.
+    /// Returns the link to the proxy `name`.
     pub(super) fn link(&self, name: &str) -> Option<Rc<Link>> {
         let links = self.links.borrow();
         let at = links.binary_search_by(|it| (*it.0).cmp(name)).ok()?;
         Some(Rc::clone(&links[at].1))
     }
 
-    /// A link that is connected, to any proxy but `name`; one in this data centre if `near` and there is one.
-    pub(super) fn random_connected_link_except(&self, name: &str, near: bool) -> Option<(ProxyName, Rc<Link>)> {
+    /// Returns a random connected link to a proxy other than `name`. With `prefer_local`, links in this data centre are preferred.
+    pub(super) fn random_connected_link_except(&self, name: &str, prefer_local: bool) -> Option<(ProxyName, Rc<Link>)> {
         let links = self.links.borrow();
         let mut connected: Vec<_> = links.iter().filter(|it| *it.0 != *name && it.1.is_connected()).collect();
-        if near && connected.iter().any(|it| it.1.same_data_centre) {
+        if prefer_local && connected.iter().any(|it| it.1.same_data_centre) {
             connected.retain(|it| it.1.same_data_centre);
         }
         if connected.is_empty() {
@@ -89,53 +90,56 @@
         Some((name.clone(), Rc::clone(link)))
     }
 
-    /// A request for `service` is to be placed: links to its guards are opened if there are none yet.
+    /// Records a request for `service` and opens links to its guards if it had no recent requests.
     pub(super) fn note_service_needed(self: &Rc<Self>, service: &str) {
-        if self.needs.borrow_mut().note(service, clock::now())
-            && self.directory.borrow_mut().service_count() > ALL_SERVICES
+        if self.needs.borrow_mut().record_request(service, clock::now())
+            && self.directory.borrow_mut().service_count() > MAX_SERVICES_LINKED_AHEAD
         {
             self.update_links();
         }
     }
 
-    /// Chooses whom to link to, whenever that may have changed.
+    /// Updates the links whenever the members or their reachability may have changed.
     pub(super) async fn maintain_links(self: Rc<Self>) {
         loop {
             self.update_links();
-            sleep(CHOOSE_PAUSE).await;
-            // A timeout is as good a reason.
-            _ = timeout(CHOOSE_EVERY, self.members_changed.notified()).await;
+            sleep(MIN_UPDATE_PAUSE).await;
+            // Updates after a timeout too, since reachability changes without a notification.
+            _ = timeout(MAX_UPDATE_PAUSE, self.members_changed.notified()).await;
         }
     }
 
-    /// Opens links to those chosen, and closes those that neither side needs.
+    /// Opens links to the selected proxies and closes links that neither side selected.
     pub(super) fn update_links(self: &Rc<Self>) {
         let now = clock::now();
-        let chosen = self.chosen(now);
-        for row in &chosen {
+        let selected = self.select_rows(now);
+        for row in &selected {
             self.ensure_link(row).selected.set(true);
         }
         for (name, link) in self.links.borrow().iter() {
-            let stays = chosen.binary_search_by(|it| it.daemon.cmp(name)).is_ok();
+            let stays = selected.binary_search_by(|it| it.daemon.cmp(name)).is_ok();
             if link.selected.get() && !stays {
                 link.selected.set(false);
                 link.request_hello();
             }
-            if link.selected_by_peer.get() && link.down_for(now) > LEFT_ALONE_AFTER {
+            if link.selected_by_peer.get() && link.down_for(now) > DROP_PEER_SELECTION_AFTER {
                 link.selected_by_peer.set(false);
             }
         }
         self.links.borrow_mut().retain(|it| !it.1.is_unused());
     }
 
-    /// The rows of those to link to, sorted by name.
-    fn chosen(&self, now: Instant) -> Vec<Arc<Row>> {
+    /// Selects the rows of the proxies to link to, sorted by name.
+    fn select_rows(&self, now: Instant) -> Vec<Arc<Row>> {
         let mut directory = self.directory.borrow_mut();
-        let all = directory.service_count() <= ALL_SERVICES;
-        let needs = self.needs.borrow();
-        let rows: Vec<_> = directory.members().filter(|it| all || needs.has(&it.1.endpoints.service)).collect();
+        let all_services = directory.service_count() <= MAX_SERVICES_LINKED_AHEAD;
+        let recent_services = self.needs.borrow();
+        let rows: Vec<_> = directory
+            .members()
+            .filter(|it| all_services || recent_services.contains(&it.1.endpoints.service))
+            .collect();
         let own = directory.own();
-        let members: Vec<PeerCandidate<'_>> = rows
+        let candidates: Vec<PeerCandidate<'_>> = rows
             .iter()
             .map(|(key, row)| PeerCandidate {
                 key: *key,
@@ -144,13 +148,13 @@
                 reachable: self.link(&row.daemon).is_none_or(|it| it.is_reachable(now)),
             })
             .collect();
-        let chosen = subset::choose_peers(directory.own_key(), &members);
-        let mut chosen: Vec<Arc<Row>> = chosen.into_iter().map(|at| Arc::clone(rows[at].1)).collect();
-        chosen.sort_unstable_by(|a, b| a.daemon.cmp(&b.daemon));
-        chosen
+        let selected = subset::choose_peers(directory.own_key(), &candidates);
+        let mut selected: Vec<Arc<Row>> = selected.into_iter().map(|at| Arc::clone(rows[at].1)).collect();
+        selected.sort_unstable_by(|a, b| a.daemon.cmp(&b.daemon));
+        selected
     }
 
-    /// The link to a row's owner, opened if there is none; one that moved is linked anew.
+    /// Returns the link to the owner of `row`. Creates it if there is none or if the address changed.
     pub(super) fn ensure_link(self: &Rc<Self>, row: &Row) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
         let found = links.binary_search_by(|it| it.0.cmp(&row.daemon));
@@ -159,44 +163,44 @@
         {
             return Rc::clone(&links[at].1);
         }
-        let near = row.data_centre == self.settings.borrow().data_centre;
-        let link = Rc::new(Link::new(row, near));
+        let same_data_centre = row.data_centre == self.settings.borrow().data_centre;
+        let link = Rc::new(Link::new(row, same_data_centre));
         match found {
             Ok(at) => links[at].1 = Rc::clone(&link),
             Err(at) => links.insert(at, (row.daemon.clone(), Rc::clone(&link))),
         }
         drop(links);
-        spawn_local(Rc::clone(self).keep_link(row.daemon.clone(), Rc::clone(&link)));
+        spawn_local(Rc::clone(self).maintain_link(row.daemon.clone(), Rc::clone(&link)));
         link
     }
 
-    /// Keeps a link open until nobody needs it.
-    async fn keep_link(self: Rc<Self>, name: ProxyName, link: Rc<Link>) {
-        let mut pause = FIRST_PAUSE;
-        let was_up = Cell::new(false);
+    /// Connects and reconnects `link` until it is removed or replaced.
+    async fn maintain_link(self: Rc<Self>, name: ProxyName, link: Rc<Link>) {
+        let mut pause = INITIAL_RECONNECT_PAUSE;
+        let was_connected = Cell::new(false);
         while self.is_current(&name, &link) {
             match link.connect().await {
-                Ok(connected) => {
-                    if !was_up.replace(true) {
+                Ok(connection) => {
+                    if !was_connected.replace(true) {
                         self.events.emit(&Event::Peer { peer: &name, reachable: true, why: "connected" });
                     }
                     select! {
                         () = self.send_updates(&link) => (),
-                        () = connected.ended() => (),
-                        () = self.needless(&name, &link) => (),
+                        () = connection.ended() => (),
+                        () = self.link_removed(&name, &link) => (),
                     }
-                    pause = FIRST_PAUSE;
+                    pause = INITIAL_RECONNECT_PAUSE;
                 }
                 Err(error) => {
-                    if was_up.replace(false) {
+                    if was_connected.replace(false) {
                         let why = error.to_string();
                         self.events.emit(&Event::Peer { peer: &name, reachable: false, why: &why });
                     }
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    pause = (pause * 2).min(MAX_RECONNECT_PAUSE);
                 }
             }
-            if link.down_for(clock::now()) > DOWN_AFTER {
-                self.hold_down(&name);
+            if link.down_for(clock::now()) > MARK_DOWN_AFTER {
+                self.mark_down(&name);
             }
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
         }
@@ -206,29 +210,30 @@
         self.link(name).is_some_and(|it| Rc::ptr_eq(&it, link))
     }
 
-    /// Waits until the link is no longer one of this proxy's.
-    async fn needless(&self, name: &str, link: &Rc<Link>) {
+    /// Waits until `link` is removed or replaced.
+    async fn link_removed(&self, name: &str, link: &Rc<Link>) {
         while self.is_current(name, link) {
-            sleep(CHOOSE_EVERY).await;
+            sleep(MAX_UPDATE_PAUSE).await;
         }
     }
 
-    /// Holds a proxy to be down that can't be reached for long, and tells so; if it lives, it hears of that and refutes it.
-    fn hold_down(&self, name: &str) {
-        let (up, all) = self.links_up();
-        if up * 2 < all {
-            // It is this proxy that is cut off.
+    /// Marks the proxy `name` down, unless this proxy itself seems to be cut off. A marked proxy that is alive refutes the mark
+    /// when gossip brings it there.
+    fn mark_down(&self, name: &str) {
+        let (connected, total) = self.connected_link_count();
+        if connected * 2 < total {
+            // Most links are down: this proxy is probably cut off itself.
             return;
         }
         let mut directory = self.directory.borrow_mut();
-        let Some(tried) = directory.get(name).map(|it| it.stamp) else { return };
-        if directory.mark_down(name, tried, clock::now()) {
-            self.events.emit(&Event::Peer { peer: name, reachable: false, why: "held to be down" });
+        let Some(known_stamp) = directory.get(name).map(|it| it.stamp) else { return };
+        if directory.mark_down(name, known_stamp, clock::now()) {
+            self.events.emit(&Event::Peer { peer: name, reachable: false, why: "marked down" });
         }
     }
 
-    /// How many links are connected, of how many.
-    fn links_up(&self) -> (usize, usize) {
+    /// Returns the number of connected links and of all links.
+    fn connected_link_count(&self) -> (usize, usize) {
         let links = self.links.borrow();
         (links.iter().filter(|it| it.1.is_connected()).count(), links.len())
     }
