--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -1,4 +1,4 @@
-//! What other proxies ask of this one.
+//! Serves the calls of other proxies.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -22,37 +22,37 @@
     },
 };
 
-/// The longest call, in bytes: a request with its body, and what is around it.
-const CALL_LIMIT: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
+/// The longest call, in bytes: a caller's request and its envelope.
+const MAX_CALL_BYTES: usize = client::MAX_RESPONSE_BYTES + (1 << 20);
 
-/// Answers one call of a peer.
+/// Responds to one call of a peer.
 pub(super) async fn handle(proxy: Rc<Proxy>, req: Request<Incoming>) -> FullResponse {
     let (head, body) = req.into_parts();
-    let body = match client::collect_body(body, CALL_LIMIT).await {
+    let body = match client::collect_body(body, MAX_CALL_BYTES).await {
         Ok(it) => it,
         Err(error) => {
-            log::debug!("a peer's call broke off: {error}");
+            log::debug!("reading the body of a peer's call: {error}");
             return response(StatusCode::BAD_REQUEST, Bytes::new());
         }
     };
     match head.uri.path() {
-        path::RESERVE => reply(&body, |it| proxy.reserve(it)).await,
-        path::RUN => reply(&body, |it| proxy.run_here(it)).await,
-        path::ASK => reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await,
-        path::RELAY => reply(&body, |it| proxy.relay(it)).await,
-        path::HELLO => reply(&body, async |it| proxy.answer_hello(it)).await,
-        path::BRIEF => reply(&body, async |it| proxy.apply_status_update(&it)).await,
-        path::CONFIG => reply(&body, async |it| proxy.newer_config(it)).await,
-        path::SUMMARY => reply(&body, async |it| proxy.answer_summary(it)).await,
-        path::COMPARE => reply(&body, async |it| proxy.answer_compare(&it)).await,
-        path::WATCH => reply(&body, async |()| proxy.start_substituting()).await,
-        path::CASES => reply(&body, async |it| proxy.exchange_cases(&it)).await,
-        path::DELIVER => reply(&body, async |it| proxy.answer_deliver(it)).await,
+        path::RESERVE => decode_and_reply(&body, |it| proxy.reserve(it)).await,
+        path::RUN => decode_and_reply(&body, |it| proxy.run_request(it)).await,
+        path::ASK => decode_and_reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await,
+        path::RELAY => decode_and_reply(&body, |it| proxy.relay_query(it)).await,
+        path::HELLO => decode_and_reply(&body, async |it| proxy.answer_hello(it)).await,
+        path::BRIEF => decode_and_reply(&body, async |it| proxy.apply_status_update(&it)).await,
+        path::CONFIG => decode_and_reply(&body, async |it| proxy.newer_config(it)).await,
+        path::SUMMARY => decode_and_reply(&body, async |it| proxy.answer_summary(it)).await,
+        path::COMPARE => decode_and_reply(&body, async |it| proxy.answer_compare(&it)).await,
+        path::WATCH => decode_and_reply(&body, async |()| proxy.start_substituting()).await,
+        path::CASES => decode_and_reply(&body, async |it| proxy.exchange_cases(&it)).await,
+        path::DELIVER => decode_and_reply(&body, async |it| proxy.answer_deliver(it)).await,
         _ => response(StatusCode::NOT_FOUND, Bytes::new()),
     }
 }
 
-async fn reply<Req, Resp>(body: &[u8], handle: impl AsyncFnOnce(Req) -> Resp) -> FullResponse
+async fn decode_and_reply<Req, Resp>(body: &[u8], handle: impl AsyncFnOnce(Req) -> Resp) -> FullResponse
 where
     Req: DeserializeOwned,
     Resp: Serialize,
@@ -60,10 +60,10 @@
     match rmp_serde::from_slice(body) {
         Ok(req) => {
             let resp = handle(req).await;
-            response(StatusCode::OK, rmp_serde::to_vec(&resp).expect("messages can be coded"))
+            response(StatusCode::OK, rmp_serde::to_vec(&resp).expect("messages can be encoded"))
         }
         Err(error) => {
-            log::warn!("a peer's call can't be understood: {error}");
+            log::warn!("decoding the body of a peer's call: {error}");
             response(StatusCode::BAD_REQUEST, Bytes::new())
         }
     }
@@ -84,7 +84,7 @@
         if req.version > self.version()
             && let Some(it) = self.link(&req.ingress)
         {
-            // Its answer tells the version, and the configuration is fetched.
+            // The hello's response contains the version, and the configuration is fetched.
             it.request_hello();
         }
         let result = self.guard.reserve(&req, self.reservation_context(&req)).await;
@@ -97,35 +97,35 @@
         }
     }
 
-    async fn run_here(self: &Rc<Self>, run: RunRequest) -> RunResponse {
+    async fn run_request(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
         RunResponse { report: self.guard_report(), end, case: self.guard.case(fingerprint) }
     }
 
-    async fn relay(self: &Rc<Self>, relay: RelayedQuery) -> RunEnd {
-        match self.ask_at(&relay).await {
+    async fn relay_query(self: &Rc<Self>, query: RelayedQuery) -> RunEnd {
+        match self.forward_query(&query).await {
             Ok(it) => it,
             Err(error) => {
-                log::debug!("relaying to {}: {error}", relay.to);
+                log::debug!("forwarding a run query to {}: {error}", query.to);
                 RunEnd::Unknown(UnknownReason::TimedOut)
             }
         }
     }
 
-    /// Asks a guard, on the link to it or on a connection of its own.
-    async fn ask_at(&self, relay: &RelayedQuery) -> Result<RunEnd, LinkError> {
-        let link = self.links.borrow().iter().find(|it| it.1.address == relay.to).map(|it| Rc::clone(&it.1));
+    /// Sends a query to its guard, on the link to it or on a new connection.
+    async fn forward_query(&self, query: &RelayedQuery) -> Result<RunEnd, LinkError> {
+        let link = self.links.borrow().iter().find(|it| it.1.address == query.to).map(|it| Rc::clone(&it.1));
         if let Some(it) = link {
-            return it.call(path::ASK, &relay.ask).await;
+            return it.call(path::ASK, &query.ask).await;
         }
-        let row = self.directory.borrow().members().find(|it| it.1.peers == relay.to).map(|it| Arc::clone(it.1));
+        let row = self.directory.borrow().members().find(|it| it.1.peers == query.to).map(|it| Arc::clone(it.1));
         let Some(row) = row else { return Err(LinkError::NotConnected) };
-        let (link, _connected) = Link::open(&row).await?;
-        link.call(path::ASK, &relay.ask).await
+        let (link, _connection) = Link::open(&row).await?;
+        link.call(path::ASK, &query.ask).await
     }
 
-    /// The configuration in force if it is newer than `known`, with what of it wasn't understood.
+    /// The active configuration with its findings, if it is newer than `known`.
     fn newer_config(&self, known: Version) -> Option<ParsedConfig> {
         let config = self.config.borrow();
         let newer = config.as_deref().filter(|it| it.version > known)?;
