--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -1,7 +1,7 @@
-//! What proxies tell each other of themselves, of others, and of new configurations.
+//! Gossip between proxies: status updates, directory rows and new configuration versions.
 //!
-//! A proxy tells those it is linked to when its endpoint or the endpoint's standing changes. Rows of others come round by
-//! an exchange with one linked proxy a second, which is all that depends on the size of the fleet.
+//! A proxy sends changes of its endpoint and the endpoint's standing to its linked peers. Rows of other proxies spread by an
+//! anti-entropy exchange with one peer a second; only this traffic grows with the fleet.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,46 +20,49 @@
     rows::{Compare, Compared, Stamp},
 };
 
-/// Changes of our row are gathered this long.
+/// How long changes are collected before they are sent.
 pub(super) const COALESCE_DELAY: Duration = Duration::from_millis(20);
-/// How long a greeting, or a step of an exchange, may take.
+/// How long a hello, a status update or a step of an exchange may take.
 pub(super) const PEER_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a whole configuration may take from a peer: half of the time in which it must be in force,
-/// so that another peer can be asked.
-const CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many peers a new version is told to at once by each that has it: all but 2 in 100 hear of it so, the rest with
-/// the next request or exchange.
-const RELAYS: usize = 4;
-/// The pause between exchanges of rows: a change is known to hundreds in about six rounds.
-const EXCHANGE_EVERY: Duration = Duration::from_secs(1);
-/// The pause while the directory has just begun to fill.
-const EXCHANGE_EARLY: Duration = Duration::from_millis(300);
-/// For how long it fills.
-const EARLY: Duration = Duration::from_secs(3);
-/// The part of the exchanges that stay in the data centre, where bytes cost nothing.
-const NEAR_PART: f64 = 0.8;
-/// The part of the exchanges that go to a proxy that is held to be down: two halves of a fleet that held each other to be
-/// down find together so.
-const DOWN_PART: f64 = 0.1;
+/// How long fetching a configuration from a peer may take. It must be active within two seconds, so another peer can be
+/// asked in time.
+const CONFIG_FETCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many peers each proxy notifies of a new version. The few proxies that this misses learn of it with the next request
+/// or exchange.
+const VERSION_FANOUT: usize = 4;
+/// The mean pause between anti-entropy exchanges. A change reaches hundreds of proxies in about six of them.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// The mean pause while a new directory fills.
+const INITIAL_EXCHANGE_INTERVAL: Duration = Duration::from_millis(300);
+/// How long after its start a proxy uses `INITIAL_EXCHANGE_INTERVAL`.
+const INITIAL_EXCHANGE_PHASE: Duration = Duration::from_secs(3);
+/// The fraction of exchanges that prefer a peer in the same data centre, where traffic is free.
+const LOCAL_EXCHANGE_FRACTION: f64 = 0.8;
+/// The fraction of exchanges that try a proxy marked down, so that a fleet heals after a partition.
+const DOWN_EXCHANGE_FRACTION: f64 = 0.1;
 
 impl Proxy {
-    /// What of this proxy changes often.
-    fn current(&self) -> ProxyStatus {
+    /// This proxy's status.
+    fn proxy_status(&self) -> ProxyStatus {
         ProxyStatus { version: self.version(), revision: self.endpoint_changes.get(), standing: self.guard.standing() }
     }
 
-    /// [`Self::current`] with whose it is.
+    /// This proxy's status with its name and stamp.
     pub(super) fn status_update(&self) -> StatusUpdate {
-        StatusUpdate { name: self.name.clone(), stamp: self.directory.borrow().own().stamp, status: self.current() }
+        StatusUpdate {
+            name: self.name.clone(),
+            stamp: self.directory.borrow().own().stamp,
+            status: self.proxy_status(),
+        }
     }
 
     fn row(&self) -> Row {
         Row::clone(self.directory.borrow().own())
     }
 
-    /// Takes in what a peer told with a reply.
-    pub(super) fn apply_guard_report(self: &Rc<Self>, news: GuardReport) {
-        let GuardReport { update, running, waiting, retry_budget_exhausted } = news;
+    /// Applies the status and load that a guard sent with a reply.
+    pub(super) fn apply_guard_report(self: &Rc<Self>, report: GuardReport) {
+        let GuardReport { update, running, waiting, retry_budget_exhausted } = report;
         if let Some(link) = self.link(&update.name) {
             link.record_load(running + waiting, clock::now());
             let service = self.directory.borrow().get_by_key(link.key).map(|it| it.endpoints.service.clone());
@@ -70,44 +73,45 @@
         self.apply_status_update(&update);
     }
 
-    /// Takes in what of a peer changes often.
-    pub(super) fn apply_status_update(self: &Rc<Self>, brief: &StatusUpdate) {
-        let Some(link) = self.link(&brief.name) else { return };
-        self.take_current(&brief.name, &link, brief.stamp, brief.status);
+    /// Applies a peer's status update, and requests a hello if it shows that the peer's row is newer than the known one.
+    pub(super) fn apply_status_update(self: &Rc<Self>, update: &StatusUpdate) {
+        let Some(link) = self.link(&update.name) else { return };
+        self.apply_status(&update.name, &link, update.stamp, update.status);
         let known = self.directory.borrow().get_by_key(link.key).map(|it| it.stamp);
-        if known.is_none_or(|it| it < brief.stamp) {
+        if known.is_none_or(|it| it < update.stamp) {
             link.request_hello();
         }
     }
 
-    fn take_current(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, current: ProxyStatus) {
-        if link.update_standing(stamp, current) {
+    fn apply_status(self: &Rc<Self>, name: &str, link: &Rc<Link>, stamp: Stamp, status: ProxyStatus) {
+        if link.update_standing(stamp, status) {
             self.events.emit(&Event::Row {
                 peer: name,
                 sequence: stamp.sequence,
                 endpoint: None,
                 service: None,
-                standing: current.standing,
+                standing: status.standing,
             });
         }
-        if current.version > self.version() {
+        if status.version > self.version() {
             self.fetch_config(link);
         }
     }
 
-    /// Takes in rows, and acts on what is new.
+    /// Merges rows into the directory and handles those that changed it.
     pub(super) fn merge_rows(self: &Rc<Self>, rows: Vec<Row>) {
-        let news = self.directory.borrow_mut().merge_all(rows, clock::now());
-        self.handle_changed_rows(&news);
+        let changed = self.directory.borrow_mut().merge_all(rows, clock::now());
+        self.handle_changed_rows(&changed);
     }
 
-    /// Acts on rows that were news.
-    pub(super) fn handle_changed_rows(self: &Rc<Self>, news: &[Row]) {
-        if news.is_empty() {
+    /// Emits events for rows that changed in the directory and has the links updated. If this proxy's own row changed, sends
+    /// it to all linked peers.
+    pub(super) fn handle_changed_rows(self: &Rc<Self>, changed: &[Row]) {
+        if changed.is_empty() {
             return;
         }
-        metrics::counter!("jayreach_rows_taken_total").increment(news.len() as u64);
-        for row in news {
+        metrics::counter!("jayreach_rows_taken_total").increment(changed.len() as u64);
+        for row in changed {
             if row.daemon == self.name {
                 self.request_hello_to_all();
             } else if let Some(link) = self.link(&row.daemon) {
@@ -123,32 +127,32 @@
         self.members_changed.notify_one();
     }
 
-    /// Says hello at once, and whenever there is something new to say.
+    /// Sends a hello at once, then hellos and status updates as requested on `link`. Never returns.
     pub(super) async fn send_updates(self: &Rc<Self>, link: &Rc<Link>) {
         link.request_hello();
         loop {
-            let fully = link.wait_for_request().await;
+            let sends_hello = link.wait_for_request().await;
             sleep(COALESCE_DELAY).await;
-            if fully {
-                let hello = Hello { row: self.row(), status: self.current(), selected: link.selected.get() };
+            if sends_hello {
+                let hello = Hello { row: self.row(), status: self.proxy_status(), selected: link.selected.get() };
                 if let Some(it) = link.call_within::<_, HelloResponse>(PEER_CALL_TIMEOUT, path::HELLO, &hello).await {
-                    self.take_welcome(link, it);
+                    self.apply_hello_response(link, it);
                 }
             } else {
-                // What is lost here is told with the next reply, or the next hello.
+                // A lost update is repaired by the next reply or hello.
                 _ = link.call_within::<_, ()>(PEER_CALL_TIMEOUT, path::BRIEF, &self.status_update()).await;
             }
         }
     }
 
-    fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
-        let HelloResponse { row, status, newer_caller_row } = welcome;
+    fn apply_hello_response(self: &Rc<Self>, link: &Rc<Link>, resp: HelloResponse) {
+        let HelloResponse { row, status, newer_caller_row } = resp;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
         self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
-        self.take_current(&name, link, stamp, status);
+        self.apply_status(&name, link, stamp, status);
     }
 
-    /// Answers a peer's hello, and links back to one that chose this proxy.
+    /// Responds to a hello, and opens a link back if the peer selected this proxy.
     pub(super) fn answer_hello(self: &Rc<Self>, hello: Hello) -> HelloResponse {
         let Hello { row, status, selected } = hello;
         let (name, stamp) = (row.daemon.clone(), row.stamp);
@@ -158,13 +162,13 @@
         self.merge_rows(vec![row]);
         if let Some(link) = self.link(&name) {
             link.selected_by_peer.set(selected);
-            self.take_current(&name, &link, stamp, status);
+            self.apply_status(&name, &link, stamp, status);
         }
-        let known = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
-        HelloResponse { row: self.row(), status: self.current(), newer_caller_row: known }
+        let newer_row = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
+        HelloResponse { row: self.row(), status: self.proxy_status(), newer_caller_row: newer_row }
     }
 
-    /// Tells linked peers when this proxy's row changes, or its endpoint's standing.
+    /// Sends changes of this proxy's endpoint and its standing to all linked peers. Never returns.
     pub(super) async fn announce_changes(self: Rc<Self>) {
         loop {
             tokio::select! {
@@ -182,47 +186,50 @@
         }
     }
 
-    /// Has this proxy's row told to all linked peers.
+    /// Requests a hello on all links, which sends this proxy's row.
     pub(super) fn request_hello_to_all(&self) {
         self.links.borrow().iter().for_each(|it| it.1.request_hello());
     }
 
-    /// Exchanges rows with another proxy from time to time.
+    /// Removes expired rows and exchanges rows and crash records with a peer at intervals. Never returns.
     pub(super) async fn run_anti_entropy(self: Rc<Self>) {
         let start = clock::now();
         loop {
-            let early = clock::now().saturating_duration_since(start) < EARLY;
-            let pause = if early { EXCHANGE_EARLY } else { EXCHANGE_EVERY };
+            let is_initial = clock::now().saturating_duration_since(start) < INITIAL_EXCHANGE_PHASE;
+            let pause = if is_initial { INITIAL_EXCHANGE_INTERVAL } else { EXCHANGE_INTERVAL };
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
             self.directory.borrow_mut().remove_expired(clock::now());
             self.guard.remove_expired_cases();
-            if rand::rng().random_bool(DOWN_PART) {
-                self.try_down().await;
-            } else if let Some((_, link)) = self.random_connected_link_except("", rand::rng().random_bool(NEAR_PART)) {
+            if rand::rng().random_bool(DOWN_EXCHANGE_FRACTION) {
+                self.exchange_with_down_proxy().await;
+            } else if let Some((_, link)) =
+                self.random_connected_link_except("", rand::rng().random_bool(LOCAL_EXCHANGE_FRACTION))
+            {
                 self.exchange(&link).await;
             }
         }
     }
 
-    /// Tries a proxy that is held to be down.
-    async fn try_down(self: &Rc<Self>) {
+    /// Tries an exchange with a random proxy that is marked down.
+    async fn exchange_with_down_proxy(self: &Rc<Self>) {
         let row =
             self.directory.borrow().down_rows().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
         let Some(row) = row else { return };
-        // One that is down in truth is not news.
-        let Ok((link, _connected)) = Link::open(&row).await else { return };
+        // The proxy is probably down indeed; a failure needs no log line.
+        let Ok((link, _connection)) = Link::open(&row).await else { return };
         self.exchange(&link).await;
     }
 
-    /// Compares directories with a peer, and evens out what differs.
+    /// Compares state digests with a peer and synchronises what differs.
     async fn exchange(self: &Rc<Self>, link: &Rc<Link>) {
-        let Some(theirs) = link.call_within::<_, StateSummary>(PEER_CALL_TIMEOUT, path::SUMMARY, &self.summary()).await
+        let Some(peer_summary) =
+            link.call_within::<_, StateSummary>(PEER_CALL_TIMEOUT, path::SUMMARY, &self.summary()).await
         else {
             return;
         };
-        self.take_summary(theirs, link);
-        self.sync_cases(theirs.cases_digest, link).await;
-        if theirs.digest == self.directory.borrow().digest() {
+        self.apply_summary(peer_summary, link);
+        self.sync_cases(peer_summary.cases_digest, link).await;
+        if peer_summary.digest == self.directory.borrow().digest() {
             return;
         }
         let compare = self.directory.borrow().compare(self.version());
@@ -245,57 +252,57 @@
         }
     }
 
-    /// Takes in what a peer says of the configuration.
-    fn take_summary(self: &Rc<Self>, theirs: StateSummary, link: &Rc<Link>) {
-        if theirs.version > self.version() {
+    /// Applies what a peer's summary says about the configuration.
+    fn apply_summary(self: &Rc<Self>, peer_summary: StateSummary, link: &Rc<Link>) {
+        if peer_summary.version > self.version() {
             self.fetch_config(link);
         }
-        self.take_confirmation(theirs);
+        self.apply_confirmation(peer_summary);
     }
 
-    /// Takes in how long ago the store confirmed the version in force, if a peer speaks of that one.
-    fn take_confirmation(&self, theirs: StateSummary) {
-        if let Some(it) = theirs.store_era {
+    /// Records a peer's store era, and its last confirmation if both proxies have the same active version.
+    fn apply_confirmation(&self, peer_summary: StateSummary) {
+        if let Some(it) = peer_summary.store_era {
             self.store.note_era(it);
         }
-        if theirs.version == self.version()
-            && let Some(it) = theirs.confirmed_ago
+        if peer_summary.version == self.version()
+            && let Some(it) = peer_summary.confirmed_ago
         {
             self.record_confirmation(it);
         }
     }
 
-    /// Answers the opening of an exchange.
-    pub(super) fn answer_summary(&self, theirs: StateSummary) -> StateSummary {
-        self.take_confirmation(theirs);
+    /// Responds to the first message of an exchange.
+    pub(super) fn answer_summary(&self, peer_summary: StateSummary) -> StateSummary {
+        self.apply_confirmation(peer_summary);
         self.summary()
     }
 
-    /// Answers with the stamps of what differs.
+    /// Returns the stamps of the rows in all buckets whose digests differ.
     pub(super) fn answer_compare(&self, compare: &Compare) -> Compared {
         self.directory.borrow().answer_compare(compare, self.version())
     }
 
-    /// Takes rows in, and answers with those that the caller lacks.
+    /// Merges the delivered rows and returns those that the peer requested.
     pub(super) fn answer_deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
-        let (delivered, news) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
-        self.handle_changed_rows(&news);
+        let (delivered, changed) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
+        self.handle_changed_rows(&changed);
         delivered
     }
 
-    /// Tells a few peers of each new version; they tell a few others.
+    /// Notifies a few random peers of each newly activated version, which do the same. Never returns.
     pub(super) async fn announce_versions(self: Rc<Self>) {
         loop {
             self.config_changed.notified().await;
             let links = self.links.borrow();
             let connected: Vec<_> = links.iter().filter(|it| it.1.is_connected()).collect();
-            connected.sample(&mut rand::rng(), RELAYS).for_each(|it| it.1.request_status_update());
+            connected.sample(&mut rand::rng(), VERSION_FANOUT).for_each(|it| it.1.request_status_update());
         }
     }
 
-    /// Fetches the configuration from a peer that has a newer one.
+    /// Starts to fetch the configuration from a peer that has a newer version.
     pub(super) fn fetch_config(self: &Rc<Self>, link: &Rc<Link>) {
-        // Many messages tell of a new version; one fetch is enough.
+        // Many peers announce a new version at once; one fetch at a time is enough.
         if self.fetching_config.replace(true) {
             return;
         }
@@ -303,7 +310,7 @@
         spawn_local(async move {
             let known = proxy.version();
             if let Some(Some(it)) =
-                link.call_within::<_, Option<ParsedConfig>>(CONFIG_TIMEOUT, path::CONFIG, &known).await
+                link.call_within::<_, Option<ParsedConfig>>(CONFIG_FETCH_TIMEOUT, path::CONFIG, &known).await
             {
                 proxy.activate_config(it, "peer");
             }
