--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows of the fleet: which row is the newer one, and how rows come round.
+//! Tests of the directory of proxies: which of two rows is newer, and how rows spread by anti-entropy.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -37,7 +37,7 @@
     Some(EndpointRow { id: EndpointId { name: name.into(), started_at: None }, slots: 4 })
 }
 
-/// One exchange as two proxies have it.
+/// Runs one complete anti-entropy exchange, opened by `a`.
 fn exchange(a: &mut Directory, b: &mut Directory) {
     if a.digest() == b.digest() {
         return;
@@ -51,50 +51,50 @@
 }
 
 #[rstest]
-#[case::a_later_change(row("b", 5, 3), Merge::News)]
-#[case::a_late_call(row("b", 5, 1), Merge::Old)]
-#[case::a_later_run(row("b", 6, 1), Merge::News)]
-#[case::an_earlier_run(row("b", 4, 9), Merge::Old)]
-fn the_newer_row_of_a_proxy_counts(#[case] told: Row, #[case] wanted: Merge) {
+#[case::later_change(row("b", 5, 3), Merge::News)]
+#[case::stale_change(row("b", 5, 1), Merge::Old)]
+#[case::later_incarnation(row("b", 6, 1), Merge::News)]
+#[case::earlier_incarnation(row("b", 4, 9), Merge::Old)]
+fn merge_keeps_the_newer_row(#[case] received: Row, #[case] expected: Merge) {
     let mut directory = directory("a", 1);
     directory.merge(row("b", 5, 2), Instant::now());
 
-    assert_eq!(directory.merge(told, Instant::now()), wanted);
+    assert_eq!(directory.merge(received, Instant::now()), expected);
 }
 
-/// Its VM's clock was set back between two runs, so the later run seems to be the earlier one.
+/// The VM's clock was set back between two incarnations, so the later one has the lower number.
 #[test]
-fn a_run_goes_above_what_is_told_of_an_earlier_one() {
-    let (mut again, mut other) = (directory("a", 900), directory("b", 1));
+fn a_proxy_outbids_the_higher_number_of_its_earlier_incarnation() {
+    let (mut restarted, mut other) = (directory("a", 900), directory("b", 1));
     other.merge(row("a", 1_000, 7), Instant::now());
 
-    exchange(&mut again, &mut other);
-    exchange(&mut again, &mut other);
+    exchange(&mut restarted, &mut other);
+    exchange(&mut restarted, &mut other);
 
-    assert!(again.own().stamp.incarnation > 1_000);
-    assert_eq!(other.get("a").map(|it| it.stamp), Some(again.own().stamp));
+    assert!(restarted.own().stamp.incarnation > 1_000);
+    assert_eq!(other.get("a").map(|it| it.stamp), Some(restarted.own().stamp));
 }
 
 #[test]
-fn a_proxy_that_is_held_to_be_down_refutes_it() {
-    let (mut held, mut other) = (directory("a", 1), directory("b", 1));
-    exchange(&mut held, &mut other);
-    let tried = held.own().stamp;
-    assert!(other.mark_down("a", tried, Instant::now()));
-    let without = other.members().count();
+fn a_live_proxy_refutes_that_it_is_marked_down() {
+    let (mut live, mut other) = (directory("a", 1), directory("b", 1));
+    exchange(&mut live, &mut other);
+    let stamp = live.own().stamp;
+    assert!(other.mark_down("a", stamp, Instant::now()));
+    let members_while_down = other.members().count();
 
-    exchange(&mut held, &mut other);
-    exchange(&mut held, &mut other);
+    exchange(&mut live, &mut other);
+    exchange(&mut live, &mut other);
 
-    assert_eq!((without, other.members().count()), (0, 1));
+    assert_eq!((members_while_down, other.members().count()), (0, 1));
 }
 
 #[test]
-fn a_listing_replaces_nothing_that_a_proxy_said_itself() {
+fn a_store_listing_does_not_replace_rows_from_proxies() {
     let mut directory = directory("a", 1);
-    let mut told = row("b", 5, 1);
-    told.endpoints.endpoint = endpoint("i-1");
-    directory.merge(told.clone(), Instant::now());
+    let mut received = row("b", 5, 1);
+    received.endpoints.endpoint = endpoint("i-1");
+    directory.merge(received.clone(), Instant::now());
     let listed = ["b", "c"].map(|it| PresenceObject {
         name: it.into(),
         peers: address(),
@@ -104,12 +104,12 @@
 
     directory.seed_from_store(listed.into_iter(), Instant::now());
 
-    assert_eq!(directory.get("b").map(|it| Row::clone(it)), Some(told));
-    assert_eq!(directory.guard_count("desk"), 3, "all share the allowance of the service");
+    assert_eq!(directory.get("b").map(|it| Row::clone(it)), Some(received));
+    assert_eq!(directory.guard_count("desk"), 3, "all guards of a service share its retry budget");
 }
 
 #[test]
-fn who_left_or_is_down_does_not_count() {
+fn proxies_that_left_or_are_down_are_not_counted() {
     let mut directory = directory("a", 1);
     let mut left = row("b", 5, 2);
     left.leaving = true;
@@ -123,13 +123,13 @@
     assert_eq!(directory.members().map(|it| &*it.1.daemon).collect::<Vec<_>>(), ["d"]);
 }
 
-/// A fleet in which each has exchanges with a few dozen others only. The table is the pause between a change and the time
-/// at which all know it, in rounds of one exchange each.
+/// Each proxy of a fleet exchanges rows with its linked peers only. `max_rounds` bounds the rounds, of one exchange by each
+/// proxy, until a change is known everywhere.
 #[rstest]
 #[case(24, 6)]
 #[case(354, 9)]
-fn a_change_comes_round_in_a_few_exchanges(#[case] size: usize, #[case] most: usize) {
-    const LINKED: usize = 48;
+fn a_change_spreads_in_few_rounds(#[case] size: usize, #[case] max_rounds: usize) {
+    const LINKS_PER_PROXY: usize = 48;
     let mut rng = SmallRng::seed_from_u64(7);
     let rows: Vec<Row> = (0..size).map(|it| row(&format!("vm-{it}"), 1, 1)).collect();
     let mut fleet: Vec<Directory> = rows
@@ -141,21 +141,21 @@
         })
         .collect();
     let links: Vec<Vec<usize>> =
-        (0..size).map(|me| (0..LINKED).map(|_| (me + rng.random_range(1..size)) % size).collect()).collect();
+        (0..size).map(|me| (0..LINKS_PER_PROXY).map(|_| (me + rng.random_range(1..size)) % size).collect()).collect();
     fleet[0].edit_own(Instant::now(), |it| it.endpoints.endpoint = endpoint("i-1"));
     let changed = fleet[0].own().stamp;
 
-    let knows = |it: &Directory| it.get("vm-0").is_some_and(|it| it.stamp == changed);
+    let has_change = |it: &Directory| it.get("vm-0").is_some_and(|it| it.stamp == changed);
     let mut rounds = 0;
-    while !fleet.iter().all(knows) {
+    while !fleet.iter().all(has_change) {
         rounds += 1;
         for (me, linked) in links.iter().enumerate() {
-            let partner = linked[rng.random_range(0..LINKED)];
+            let partner = linked[rng.random_range(0..LINKS_PER_PROXY)];
             let [a, b] = fleet.get_disjoint_mut([me, partner]).expect("two proxies");
             exchange(a, b);
         }
     }
 
-    assert!(rounds <= most, "{rounds} rounds");
+    assert!(rounds <= max_rounds, "the change took {rounds} rounds");
     assert!(fleet.iter().all(|it| it.digest() == fleet[0].digest()));
 }
