--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -44,9 +44,9 @@
         }
     }
 
-    fn set_watching(&self, watching: bool) {
-        self.watching.set(watching);
-        self.events.emit(&Event::Watch { begins: watching, confirmed_ms: self.confirmed_ms() });
+    fn set_watching(&self, begins: bool) {
+        self.watching.set(begins);
+        self.events.emit(&Event::Watch { begins, confirmed_ms: self.confirmed_ms() });
     }
 
     /// Reads the configuration once at start, since no peer has one while the whole fleet starts. The read may be stale,
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -34,7 +34,8 @@
     pub slots: u32,
 }
 
-/// The part of a proxy's state that changes seldom. The stamp's incarnation is the start of the process in Unix milliseconds.
+/// The part of a proxy's state that changes seldom. The incarnation in its stamp is the process's start in Unix
+/// milliseconds, raised above that of an earlier incarnation if need be.
 pub type Row = rows::Row<GuardedService>;
 
 /// The part of a proxy's state that changes often; sent only to linked proxies.
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -44,7 +44,7 @@
     /// No connection is open; nothing was sent.
     #[error("not connected")]
     NotConnected,
-    /// The connection broke; the peer may have handled the call.
+    /// The connection broke after the call was sent; whether the peer handled it is unknown.
     #[error("connection lost: {0}")]
     Lost(#[from] hyper::Error),
     /// The response body is incomplete, too long or not decodable.
