--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -1,8 +1,8 @@
 //! Follows the configuration in the platform's store.
-
 //!
 //! Only a few proxies watch the store; the others get new versions by gossip. A watcher that loses the store asks a peer to
 //! watch in its place.
+
 use std::{
     rc::Rc,
     time::{Duration, Instant},
@@ -22,7 +22,6 @@
 /// How long a starting proxy waits for the list of members, without which it would always watch.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The pause after a change before the next watch, so that a quick series of changes costs few store calls.
-
 const CHANGE_PAUSE: Duration = Duration::from_millis(400);
 
 /// How long a peer may take to answer a request to substitute.
