--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -18,7 +18,7 @@
         Sample, WaiterDecision, WaiterId, failure_level,
     },
     rows::{EndpointId, EndpointRow, EndpointState, Incarnation},
-    targets::Weighs,
+    targets::EjectionPreference,
     ticket::{Ledger, Opening},
     util::lock,
     wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Measure {
     pub(crate) baseline: f64,
-    pub(crate) weighs: Weighs,
+    pub(crate) weighs: EjectionPreference,
 }
 
 /// What a guard asks of its daemon while it runs a dispatch.
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -56,7 +56,7 @@
     rows::{Incarnation, OwnClaims, Row, Stamp, Table},
     settings::Settings,
     store::{ObjectStore, StoreClient},
-    targets::{Importance, Weighs},
+    targets::{EjectionPreference, Importance},
     util::{lock, unix_seconds},
     wire::{Dispatch, DispatchReply},
 };
@@ -287,7 +287,10 @@
         let service = self.guard.service_of(endpoint).unwrap_or_default();
         let config = self.config.get();
         let weighs = config.as_ref().and_then(|it| it.directory.service(&service)).map(|it| it.weighs);
-        Measure { baseline: self.view.baseline(&service, endpoint), weighs: weighs.unwrap_or(Weighs::FalseEjections) }
+        Measure {
+            baseline: self.view.baseline(&service, endpoint),
+            weighs: weighs.unwrap_or(EjectionPreference::FalseEjections),
+        }
     }
 
     /// Brings the own row up to date with the guard's endpoints.
--- a/src/decide/detector.rs
+++ b/src/decide/detector.rs
@@ -2,7 +2,7 @@
 //! The null hypothesis follows the failure rate of the service's other endpoints, so that an overload of the whole
 //! service ejects no endpoint.
 
-use crate::targets::Weighs;
+use crate::targets::EjectionPreference;
 
 /// Lower bound of the healthy failure rate.
 const MIN_HEALTHY_RATE: f64 = 0.01;
@@ -90,10 +90,10 @@
 }
 
 /// The evidence in nats that ejects an endpoint. A higher threshold causes fewer false ejections and slower detection.
-pub fn ejection_threshold(weighs: Weighs) -> f64 {
+pub fn ejection_threshold(weighs: EjectionPreference) -> f64 {
     match weighs {
-        Weighs::DetectionTime => 11.0,
-        Weighs::FalseEjections => 18.0,
+        EjectionPreference::DetectionTime => 11.0,
+        EjectionPreference::FalseEjections => 18.0,
     }
 }
 
--- a/src/decide/endpoint_health.rs
+++ b/src/decide/endpoint_health.rs
@@ -12,7 +12,7 @@
     chart::Chart,
     decide::detector::{Evidence, FailureDetector, Sample, ejection_threshold},
     rows::EndpointState,
-    targets::Weighs,
+    targets::EjectionPreference,
 };
 
 static CHART: LazyLock<Chart<EndpointState, EndpointEvent>> =
@@ -135,7 +135,7 @@
 
     /// Records the result of a request; returns whether the state changed. `baseline` is the failure rate of the
     /// service's other endpoints, 0 to 1; `weighs` selects the ejection threshold.
-    pub fn record_sample(&mut self, sample: Sample, baseline: f64, weighs: Weighs, now: Instant) -> bool {
+    pub fn record_sample(&mut self, sample: Sample, baseline: f64, weighs: EjectionPreference, now: Instant) -> bool {
         let evidence = self.detector.record(sample, baseline, ejection_threshold(weighs));
         match self.state {
             EndpointState::Serving | EndpointState::Suspect => match evidence {
--- a/src/targets/mod.rs
+++ b/src/targets/mod.rs
@@ -8,6 +8,6 @@
 
 pub use diff::{Difference, Edit, differences};
 pub use directory::{Directory, Found};
-pub use model::{Account, Class, Importance, Route, Service, Targets, TokenHash, Weighs, hash_token};
+pub use model::{Account, Class, EjectionPreference, Importance, Route, Service, Targets, TokenHash, hash_token};
 pub use parse::{TargetsFile, parse_targets, write_targets};
 pub use parts::{Change, ChangeId, Digest, Part, PartRef, Root, Version, decode as decode_object, digest, join, split};
--- a/src/targets/model.rs
+++ b/src/targets/model.rs
@@ -24,7 +24,7 @@
 /// Which of the two measures of the brief a service weighs more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Weighs {
+pub enum EjectionPreference {
     /// How long a failing endpoint keeps receiving work.
     DetectionTime,
     /// How many healthy endpoints are removed.
@@ -39,7 +39,7 @@
     /// The share of announced slots that ejections must leave, in percent.
     pub floor_percent: u8,
     /// What matters more here.
-    pub weighs: Weighs,
+    pub weighs: EjectionPreference,
 }
 
 /// A path prefix and what it leads to.
--- a/src/targets/parse.rs
+++ b/src/targets/parse.rs
@@ -5,7 +5,7 @@
 use crate::{
     document::{Document, Section, format_duration},
     error::Findings,
-    targets::model::{Account, Class, Route, Service, Targets, TokenHash, Weighs},
+    targets::model::{Account, Class, EjectionPreference, Route, Service, Targets, TokenHash},
 };
 
 /// The longest lateness a class may have; recorded answers outlive it (docs/DESIGN.md, tickets).
@@ -82,8 +82,8 @@
     for (name, mut section) in section.named_tables("service") {
         let floor_percent = section.required_number("floor_percent", 1..101);
         let weighs = match section.required_text("weighs").as_deref() {
-            Some("detection-time") => Some(Weighs::DetectionTime),
-            Some("false-ejections") => Some(Weighs::FalseEjections),
+            Some("detection-time") => Some(EjectionPreference::DetectionTime),
+            Some("false-ejections") => Some(EjectionPreference::FalseEjections),
             Some(_) => {
                 section.find("weighs", "`weighs` must be detection-time or false-ejections");
                 None
@@ -188,8 +188,8 @@
     }
     for it in &targets.services {
         let weighs = match it.weighs {
-            Weighs::DetectionTime => "detection-time",
-            Weighs::FalseEjections => "false-ejections",
+            EjectionPreference::DetectionTime => "detection-time",
+            EjectionPreference::FalseEjections => "false-ejections",
         };
         _ = write!(out, "\n[service.{}]\nfloor_percent = {}\n", quote(&it.name), it.floor_percent);
         _ = writeln!(out, "weighs = \"{weighs}\"");
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -12,7 +12,7 @@
     rows::{
         BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
     },
-    targets::{Account, Class, Directory, Route, Service, Targets, Weighs, differences, hash_token, split},
+    targets::{Account, Class, Directory, EjectionPreference, Route, Service, Targets, differences, hash_token, split},
     ticket::{GuardRef, Home, Ledger},
     wire::{Answer, Outcome, TicketLeg, encode},
 };
@@ -210,7 +210,7 @@
             .map(|it| Service {
                 name: format!("service-{it:04}").into(),
                 floor_percent: 60,
-                weighs: Weighs::DetectionTime,
+                weighs: EjectionPreference::DetectionTime,
             })
             .collect(),
         routes: (0..routes)
--- a/tests/daemon_decisions.rs
+++ b/tests/daemon_decisions.rs
@@ -11,7 +11,7 @@
         median_failure_rate,
     },
     rows::EndpointState,
-    targets::Weighs,
+    targets::EjectionPreference,
     wire::Refusal,
 };
 use proptest::prelude::*;
@@ -139,7 +139,7 @@
 fn eject(health: &mut EndpointHealth, now: Instant) -> u32 {
     let mut count = 0;
     while health.state() != EndpointState::Ejected {
-        health.record_sample(Sample::Bad, 0.0, Weighs::DetectionTime, now);
+        health.record_sample(Sample::Bad, 0.0, EjectionPreference::DetectionTime, now);
         count += 1;
     }
     count
@@ -157,7 +157,7 @@
         now += health.hold_down();
         assert!(health.tick(now));
         for _ in 0..EjectionConfig::default().trial_successes {
-            health.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+            health.record_sample(Sample::Good, 0.0, EjectionPreference::DetectionTime, now);
         }
         assert_eq!(health.state(), EndpointState::Serving);
     }
@@ -177,14 +177,14 @@
     }
 
     assert_eq!(health.state(), EndpointState::Suspect);
-    health.record_sample(Sample::Good, 0.0, Weighs::DetectionTime, now);
+    health.record_sample(Sample::Good, 0.0, EjectionPreference::DetectionTime, now);
     assert_eq!(health.state(), EndpointState::Serving);
 }
 
 #[rstest]
-#[case(Weighs::DetectionTime)]
-#[case(Weighs::FalseEjections)]
-fn failures_at_the_baseline_rate_eject_no_endpoint(#[case] weighs: Weighs) {
+#[case(EjectionPreference::DetectionTime)]
+#[case(EjectionPreference::FalseEjections)]
+fn failures_at_the_baseline_rate_eject_no_endpoint(#[case] weighs: EjectionPreference) {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut detector = FailureDetector::default();
 
