--- a/src/cmd/audit.rs
+++ b/src/cmd/audit.rs
@@ -4,7 +4,7 @@
     cmd::{Run, args, print_json},
     error::Error,
     store::{StoreClient, audit_trail},
-    targets::Change,
+    targets::ConfigChange,
 };
 
 impl Run for args::Audit {
@@ -15,7 +15,7 @@
             return Ok(());
         }
         for it in entries {
-            let Change { id, who, when, why } = &it.change;
+            let ConfigChange { id, who, when, why } = &it.change;
             println!("version {}  change {id:016x}  at {when} s since 1970  by {who}: {why}", it.version);
             it.differences.iter().for_each(|it| println!("  {it}"));
             if it.omitted > 0 {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -20,7 +20,7 @@
 use crate::{
     error::Error,
     store::{self, ObjectVersion, StoreClient},
-    targets::{Root, Targets, TargetsFile, parse_targets},
+    targets::{ConfigRoot, Targets, TargetsFile, parse_targets},
 };
 
 /// How long a command waits for a daemon's answer.
@@ -69,7 +69,7 @@
 }
 
 /// The configuration in force, with its targets.
-fn in_force(store: &StoreClient) -> Result<Option<(ObjectVersion, Root, Targets)>, Error> {
+fn in_force(store: &StoreClient) -> Result<Option<(ObjectVersion, ConfigRoot, Targets)>, Error> {
     let Some((object_version, root)) = store::current_root(store)? else { return Ok(None) };
     let targets = store::load_parts(store, &root)?;
     Ok(Some((object_version, root, targets)))
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -15,7 +15,7 @@
         http::{BodyError, Request, path, query, respond, respond_json},
         ingress::Order,
     },
-    targets::{Class, Found},
+    targets::{Class, ResolvedRoute},
     wire::{Answer, Doubt, Header, Outcome, Refusal, Ticket, TicketStatus, Work},
 };
 
@@ -123,7 +123,7 @@
     Ok(Prepared { path, deadline: arrived + lateness, ticket, work })
 }
 
-fn check_account(config: &Config, req: &Request, found: Found<'_>) -> Result<(), Refusal> {
+fn check_account(config: &Config, req: &Request, found: ResolvedRoute<'_>) -> Result<(), Refusal> {
     if found.public {
         return Ok(());
     }
@@ -179,7 +179,7 @@
     let Prepared { path, deadline, ticket, work } = prepared;
     let found = config.directory.route(&path).expect("the path was routed by this configuration");
     let started = Instant::now();
-    let Found { service, class, .. } = found;
+    let ResolvedRoute { service, class, .. } = found;
     let order = Order { service: &service.name, class: &class.name, importance: class.importance, deadline };
     let outcome = match ticket {
         Some(ticket) => daemon.run_ticketed(order, &ticket, work),
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -5,15 +5,15 @@
 use crate::{
     error::Error,
     store::ROOT_KEY,
-    targets::{Digest, Directory, PartRef, Root, Version, decode_object, digest},
+    targets::{ConfigIndex, ConfigRoot, Digest, PartRef, Version, decode_object, digest},
     util::lock,
 };
 
 /// A configuration with its coded parts, which peers may ask for.
 pub(crate) struct Config {
-    pub(crate) root: Root,
+    pub(crate) root: ConfigRoot,
     pub(crate) root_bytes: Vec<u8>,
-    pub(crate) directory: Directory,
+    pub(crate) directory: ConfigIndex,
     /// In the order of the root's parts.
     parts: Vec<Arc<Vec<u8>>>,
 }
@@ -58,13 +58,13 @@
         root_bytes: Vec<u8>,
         fetch: impl Fn(&[PartRef]) -> Option<Vec<Vec<u8>>>,
     ) -> Result<Option<Arc<Config>>, Error> {
-        let root: Root = decode_object(ROOT_KEY, &root_bytes)?;
+        let root: ConfigRoot = decode_object(ROOT_KEY, &root_bytes)?;
         let _fetching = lock(&self.fetching);
         if root.version <= self.version() {
             return Ok(None);
         }
         let parts = self.gather(&root, fetch)?;
-        let directory = Directory::build(ROOT_KEY, &parts)?;
+        let directory = ConfigIndex::build(ROOT_KEY, &parts)?;
         let config = Arc::new(Config { root, root_bytes, directory, parts });
         self.put_in_force(&config);
         Ok(Some(config))
@@ -72,7 +72,7 @@
 
     fn gather(
         &self,
-        root: &Root,
+        root: &ConfigRoot,
         fetch: impl Fn(&[PartRef]) -> Option<Vec<Vec<u8>>>,
     ) -> Result<Vec<Arc<Vec<u8>>>, Error> {
         let current = self.get();
--- a/src/daemon/view.rs
+++ b/src/daemon/view.rs
@@ -13,7 +13,7 @@
 use crate::{
     decide::{Candidate, EndpointCapacity, PathHealth, choose_endpoint, eligible_endpoints, median_failure_rate},
     rows::{DaemonId, EndpointRow, EndpointState, Incarnation, Row},
-    targets::{Directory, Importance},
+    targets::{ConfigIndex, Importance},
     util::lock,
     wire::{DispatchReply, Refusal},
 };
@@ -157,7 +157,7 @@
     }
 
     /// Takes a row in; `directory` gives the floors.
-    pub(crate) fn apply(&self, row: &Row, directory: Option<&Directory>) {
+    pub(crate) fn apply(&self, row: &Row, directory: Option<&ConfigIndex>) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.daemon));
         let known = found.ok().map(|at| inner.guards.remove(at));
@@ -179,7 +179,7 @@
     }
 
     /// Applies the floors of a new configuration.
-    pub(crate) fn refloor(&self, directory: &Directory) {
+    pub(crate) fn refloor(&self, directory: &ConfigIndex) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         for service in &mut inner.services {
             let targets = service.targets.clone();
@@ -265,7 +265,13 @@
 
 impl Inner {
     /// Replaces a guard's targets in one service.
-    fn replace(&mut self, guard: &Arc<Guard>, name: Box<str>, offered: &[EndpointRow], directory: Option<&Directory>) {
+    fn replace(
+        &mut self,
+        guard: &Arc<Guard>,
+        name: Box<str>,
+        offered: &[EndpointRow],
+        directory: Option<&ConfigIndex>,
+    ) {
         let found = self.services.binary_search_by(|it| it.name.cmp(&name));
         let old: &[Arc<Target>] = found.map_or(&[], |at| &self.services[at].targets);
         let targets = replace(old, guard, &name, offered);
@@ -287,7 +293,7 @@
 }
 
 impl Service {
-    fn new(name: Box<str>, targets: Vec<Arc<Target>>, directory: Option<&Directory>) -> Self {
+    fn new(name: Box<str>, targets: Vec<Arc<Target>>, directory: Option<&ConfigIndex>) -> Self {
         let floor = directory.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR, |it| it.floor_percent);
         let standings: Vec<_> = targets
             .iter()
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -14,7 +14,8 @@
     rows::DaemonId,
     store::{Expect, Object, ObjectStore, ObjectVersion, StoreError},
     targets::{
-        Change, ChangeId, Difference, Digest, PartRef, Root, Targets, Version, differences, digest, join, split,
+        ChangeId, ConfigChange, ConfigRoot, Difference, Digest, PartRef, Targets, Version, differences, digest, join,
+        split,
     },
     util,
 };
@@ -52,7 +53,7 @@
     /// The version the change made.
     pub version: Version,
     /// Who, when and why.
-    pub change: Change,
+    pub change: ConfigChange,
     /// The change before.
     pub parent: ChangeId,
     /// What it changed; the first `AUDIT_LIMIT` of it.
@@ -79,18 +80,18 @@
 }
 
 /// The root in force, with the store's version of it.
-pub fn current_root(platform: &dyn ObjectStore) -> Result<Option<(ObjectVersion, Root)>, Error> {
+pub fn current_root(platform: &dyn ObjectStore) -> Result<Option<(ObjectVersion, ConfigRoot)>, Error> {
     let object = platform.get(ROOT_KEY).map_err(|it| Error::platform("reading the configuration", it))?;
     object.map(|it| decode_root(&it)).transpose()
 }
 
-fn decode_root(object: &Object) -> Result<(ObjectVersion, Root), Error> {
+fn decode_root(object: &Object) -> Result<(ObjectVersion, ConfigRoot), Error> {
     let root = crate::targets::decode_object(ROOT_KEY, &object.value)?;
     Ok((object.version, root))
 }
 
 /// The targets a root names, read from the store.
-pub fn load_parts(platform: &dyn ObjectStore, root: &Root) -> Result<Targets, Error> {
+pub fn load_parts(platform: &dyn ObjectStore, root: &ConfigRoot) -> Result<Targets, Error> {
     let mut parts = Vec::new();
     for it in &root.parts {
         parts.push(load_part(platform, it)?);
@@ -134,7 +135,8 @@
     if let Some(root) = old.as_ref().filter(|_| differences.is_empty()) {
         return Ok(Applied::Unchanged { version: root.version });
     }
-    let change = Change { id: rand::rng().random(), who: who.into(), when: util::unix_seconds(), why: why.into() };
+    let change =
+        ConfigChange { id: rand::rng().random(), who: who.into(), when: util::unix_seconds(), why: why.into() };
     let root = next_root(targets, old.as_ref(), change);
     retry(deadline, || store_parts(platform, targets, old.as_ref()))?;
     retry(deadline, || store_audit(platform, &root, &differences))?;
@@ -142,7 +144,7 @@
     Ok(Applied::Accepted { version: root.version, differences })
 }
 
-fn check_base(based_on: Option<Version>, old: Option<&Root>) -> Result<(), Error> {
+fn check_base(based_on: Option<Version>, old: Option<&ConfigRoot>) -> Result<(), Error> {
     let version = old.map_or(0, |it| it.version);
     match based_on {
         Some(based_on) if based_on != version => {
@@ -153,13 +155,13 @@
     }
 }
 
-fn winner(root: &Root) -> String {
-    let Change { id, who, why, .. } = &root.change;
+fn winner(root: &ConfigRoot) -> String {
+    let ConfigChange { id, who, why, .. } = &root.change;
     format!("version {} is in force: change {id:016x} by {who} ({why})", root.version)
 }
 
-fn next_root(targets: &Targets, old: Option<&Root>, change: Change) -> Root {
-    Root {
+fn next_root(targets: &Targets, old: Option<&ConfigRoot>, change: ConfigChange) -> ConfigRoot {
+    ConfigRoot {
         version: old.map_or(1, |it| it.version + 1),
         parent: old.map_or(0, |it| it.change.id),
         parts: split(targets).iter().map(|it| PartRef(it.digest)).collect(),
@@ -168,7 +170,7 @@
 }
 
 /// Writes the parts that the old root does not name. A part that is there already is the same.
-fn store_parts(platform: &dyn ObjectStore, targets: &Targets, old: Option<&Root>) -> Result<(), Error> {
+fn store_parts(platform: &dyn ObjectStore, targets: &Targets, old: Option<&ConfigRoot>) -> Result<(), Error> {
     let mut known: Vec<_> = old.map_or_else(Vec::new, |it| it.parts.clone());
     known.sort();
     for part in split(targets) {
@@ -187,7 +189,7 @@
     format!("audit/{version:012}-{change:016x}")
 }
 
-fn store_audit(platform: &dyn ObjectStore, root: &Root, differences: &[Difference]) -> Result<(), Error> {
+fn store_audit(platform: &dyn ObjectStore, root: &ConfigRoot, differences: &[Difference]) -> Result<(), Error> {
     let entry = AuditEntry {
         version: root.version,
         change: root.change.clone(),
@@ -205,7 +207,7 @@
 /// Writes the root, and after a lost answer finds out what became of it.
 fn accept(
     platform: &dyn ObjectStore,
-    root: &Root,
+    root: &ConfigRoot,
     replaces: Option<ObjectVersion>,
     deadline: Instant,
 ) -> Result<(), Error> {
@@ -236,7 +238,7 @@
 }
 
 /// Whether the change of `root` is in force or was, by the chain of changes.
-fn accepted(platform: &dyn ObjectStore, root: &Root) -> Result<bool, Error> {
+fn accepted(platform: &dyn ObjectStore, root: &ConfigRoot) -> Result<bool, Error> {
     let entries = chain(platform, CHAIN_LIMIT, root.version)?;
     Ok(entries.iter().any(|it| it.change.id == root.change.id))
 }
--- a/src/targets/directory.rs
+++ b/src/targets/config_index.rs
@@ -7,7 +7,7 @@
     error::Error,
     targets::{
         model::{Class, Importance, Route, Service, TokenHash, hash_token},
-        parts::{Content, decode},
+        parts::{PartContent, decode},
     },
 };
 
@@ -24,7 +24,7 @@
 
 /// Where a path leads.
 #[derive(Debug, Clone, Copy)]
-pub struct Found<'a> {
+pub struct ResolvedRoute<'a> {
     /// The service that answers.
     pub service: &'a Service,
     /// The class of the work.
@@ -35,7 +35,7 @@
 
 /// All that a daemon looks up for a request.
 #[derive(Debug, Clone, Default)]
-pub struct Directory {
+pub struct ConfigIndex {
     /// Sorted by name.
     classes: Vec<Class>,
     /// Sorted by name.
@@ -46,16 +46,18 @@
     tokens: Vec<TokenHash>,
 }
 
-impl Directory {
+impl ConfigIndex {
     /// Builds the directory from coded parts, one after the other, so that no more than one part's
     /// names are held at a time. The part with classes and services comes first, as `split` makes it.
     pub fn build(context: &str, parts: &[impl AsRef<Vec<u8>>]) -> Result<Self, Error> {
         let mut directory = Self::default();
         for bytes in parts {
             match decode(context, bytes.as_ref())? {
-                Content::Base { classes, services } => (directory.classes, directory.services) = (classes, services),
-                Content::Routes(routes) => directory.add_routes(context, routes)?,
-                Content::Accounts(accounts) => directory.tokens.extend(accounts.iter().map(|it| it.token_hash)),
+                PartContent::Base { classes, services } => {
+                    (directory.classes, directory.services) = (classes, services)
+                }
+                PartContent::Routes(routes) => directory.add_routes(context, routes)?,
+                PartContent::Accounts(accounts) => directory.tokens.extend(accounts.iter().map(|it| it.token_hash)),
             }
         }
         directory.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
@@ -80,7 +82,7 @@
     }
 
     /// The route with the longest prefix of whole segments of `path`.
-    pub fn route(&self, path: &str) -> Option<Found<'_>> {
+    pub fn route(&self, path: &str) -> Option<ResolvedRoute<'_>> {
         let mut prefix = path.trim_end_matches('/');
         loop {
             let wanted = if prefix.is_empty() { "/" } else { prefix };
@@ -91,8 +93,8 @@
         }
     }
 
-    fn resolve(&self, entry: &Entry) -> Found<'_> {
-        Found {
+    fn resolve(&self, entry: &Entry) -> ResolvedRoute<'_> {
+        ResolvedRoute {
             service: &self.services[entry.service as usize],
             class: &self.classes[entry.class as usize],
             public: entry.public,
--- a/src/targets/parts.rs
+++ b/src/targets/parts.rs
@@ -25,11 +25,11 @@
 
 /// The object that says which configuration is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Root {
+pub struct ConfigRoot {
     /// The number of this configuration.
     pub version: Version,
     /// The change that made it.
-    pub change: Change,
+    pub change: ConfigChange,
     /// The change before, which the audit trail follows.
     pub parent: ChangeId,
     /// The parts, in the order of the split.
@@ -38,7 +38,7 @@
 
 /// Who changed the configuration, when and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ConfigChange {
     /// What names the change.
     pub id: ChangeId,
     /// The operator.
@@ -64,7 +64,7 @@
 
 /// What a part holds.
 #[derive(Serialize, Deserialize)]
-pub(super) enum Content {
+pub(super) enum PartContent {
     Base { classes: Vec<Class>, services: Vec<Service> },
     Routes(Vec<Route>),
     Accounts(Vec<Account>),
@@ -79,11 +79,11 @@
 pub fn split(targets: &Targets) -> Vec<Part> {
     let classes = targets.classes.clone();
     let services = targets.services.clone();
-    let mut parts = vec![encode(&Content::Base { classes, services })];
+    let mut parts = vec![encode(&PartContent::Base { classes, services })];
     let routes = scatter(&targets.routes, ROUTE_PARTS, |it| digest(it.prefix.as_bytes())[0]);
-    parts.extend(routes.into_iter().map(|it| encode(&Content::Routes(it))));
+    parts.extend(routes.into_iter().map(|it| encode(&PartContent::Routes(it))));
     let accounts = scatter(&targets.accounts, ACCOUNT_PARTS, |it| it.token_hash[0]);
-    parts.extend(accounts.into_iter().map(|it| encode(&Content::Accounts(it))));
+    parts.extend(accounts.into_iter().map(|it| encode(&PartContent::Accounts(it))));
     parts
 }
 
@@ -92,12 +92,12 @@
     let mut targets = Targets::default();
     for bytes in parts {
         match decode(context, bytes.as_ref())? {
-            Content::Base { classes, services } => {
+            PartContent::Base { classes, services } => {
                 targets.classes = classes;
                 targets.services = services;
             }
-            Content::Routes(it) => targets.routes.extend(it),
-            Content::Accounts(it) => targets.accounts.extend(it),
+            PartContent::Routes(it) => targets.routes.extend(it),
+            PartContent::Accounts(it) => targets.accounts.extend(it),
         }
     }
     targets.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
@@ -111,7 +111,7 @@
         .map_err(|it| Error::Corrupt { context: context.into(), message: it.to_string().into() })
 }
 
-fn encode(content: &Content) -> Part {
+fn encode(content: &PartContent) -> Part {
     let bytes = rmp_serde::to_vec(content).expect("parts have no type that cannot be coded");
     Part { digest: digest(&bytes), bytes }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -12,7 +12,9 @@
     rows::{
         BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
     },
-    targets::{Account, Class, Directory, EjectionPreference, Route, Service, Targets, differences, hash_token, split},
+    targets::{
+        Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
+    },
     ticket::{GuardRef, Home, Ledger},
     wire::{Answer, Outcome, TicketLeg, encode},
 };
@@ -250,9 +252,9 @@
     let diff_ms = median(|| timed(|| differences(&targets, &changed)));
     println!("cutting into parts {:.0} ms, comparing {:.0} ms (operator's command)", split_ms.0, diff_ms.0);
     let bytes: Vec<_> = parts.into_iter().map(|it| it.bytes).collect();
-    let build_ms = median(|| timed(|| Directory::build("slopes", &bytes).expect("our own parts")));
+    let build_ms = median(|| timed(|| ConfigIndex::build("slopes", &bytes).expect("our own parts")));
     println!("building a daemon's directory {:.0} ms ({:.0} to {:.0})", build_ms.0, build_ms.1, build_ms.2);
-    let directory = Directory::build("slopes", &bytes).expect("our own parts");
+    let directory = ConfigIndex::build("slopes", &bytes).expect("our own parts");
     print_nanos(
         "route look-up, four segments",
         median(|| nanos_each(100_000, || _ = black_box(directory.route("/tenant-0007/resource-00007/a/b")))),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use jayreach::{
     settings::Settings,
-    targets::{Directory, differences, join, parse_targets, split, write_targets},
+    targets::{ConfigIndex, differences, join, parse_targets, split, write_targets},
 };
 use rstest::rstest;
 
@@ -81,7 +81,7 @@
     let targets = parse_targets("t.toml", &(good_targets() + charges)).expect("good targets").targets;
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
 
-    let directory = Directory::build("parts", &parts).expect("parts we made");
+    let directory = ConfigIndex::build("parts", &parts).expect("parts we made");
 
     // Only the longer prefix is public.
     let found = directory.route(path).map(|it| if it.public { "/billing/charges" } else { "/billing" });
