--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -13,7 +13,7 @@
     cmd::{Run, args, ask_daemon, print_json, read_targets},
     daemon::InForceCount,
     error::Error,
-    store::{Applied, StoreClient, apply},
+    store::{ApplyOutcome, StoreClient, apply},
     targets::{Difference, Version},
 };
 
@@ -66,10 +66,14 @@
 }
 
 impl Report {
-    fn new(applied: Applied) -> Self {
+    fn new(applied: ApplyOutcome) -> Self {
         match applied {
-            Applied::Accepted { version, differences } => Self { version, changed: true, differences, in_force: None },
-            Applied::Unchanged { version } => Self { version, changed: false, differences: Vec::new(), in_force: None },
+            ApplyOutcome::Accepted { version, differences } => {
+                Self { version, changed: true, differences, in_force: None }
+            }
+            ApplyOutcome::Unchanged { version } => {
+                Self { version, changed: false, differences: Vec::new(), in_force: None }
+            }
         }
     }
 
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -71,7 +71,7 @@
 /// The configuration in force, with its targets.
 fn in_force(store: &StoreClient) -> Result<Option<(ObjectVersion, ConfigRoot, Targets)>, Error> {
     let Some((object_version, root)) = store::current_root(store)? else { return Ok(None) };
-    let targets = store::load_parts(store, &root)?;
+    let targets = store::load_targets(store, &root)?;
     Ok(Some((object_version, root, targets)))
 }
 
--- a/src/daemon/watcher.rs
+++ b/src/daemon/watcher.rs
@@ -20,7 +20,7 @@
         peers::{CONTROL_TIMEOUT, GotParts, PeerCall, WantParts},
         phase::PhaseEvent,
     },
-    store::{Expect, ObjectVersion, ROOT_KEY, part_key, presence_key},
+    store::{ObjectVersion, ROOT_KEY, WriteCondition, part_key, presence_key},
     targets::PartRef,
     util::{lock, stable_hash},
     wire::{decode, encode},
@@ -106,7 +106,7 @@
 pub(crate) fn announce(daemon: &Arc<Daemon>) {
     let key = own_key(daemon);
     let mut backoff = BACKOFF.0;
-    while let Err(error) = daemon.platform.put(&key, b"", Expect::Anything) {
+    while let Err(error) = daemon.platform.put(&key, b"", WriteCondition::Unconditional) {
         log::debug!("writing the presence object: {error}");
         metrics::counter!("jayreach_platform_errors_total").increment(1);
         pause(&mut backoff);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -4,7 +4,7 @@
 
 use attohttpc::{Method, Response};
 
-use crate::store::{Expect, Object, ObjectStore, ObjectVersion, StoreError};
+use crate::store::{Object, ObjectStore, ObjectVersion, StoreError, WriteCondition};
 
 /// How long a call may take that isn't a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -58,20 +58,20 @@
     fn list(&self, prefix: &str) -> Result<Vec<Box<str>>, StoreError> {
         let resp = self.call(Method::GET, &format!("/objects?prefix={prefix}"), None, &[], CALL_TIMEOUT)?;
         let bytes = body(resp)?;
-        serde_json::from_slice(&bytes).map_err(|it| StoreError::NoAnswer(it.to_string().into()))
+        serde_json::from_slice(&bytes).map_err(|it| StoreError::NoResponse(it.to_string().into()))
     }
 
-    fn put(&self, key: &str, value: &[u8], expect: Expect) -> Result<ObjectVersion, StoreError> {
+    fn put(&self, key: &str, value: &[u8], expect: WriteCondition) -> Result<ObjectVersion, StoreError> {
         let condition = match expect {
-            Expect::Absent => Some(("If-None-Match", "*".to_owned())),
-            Expect::Version(it) => Some(("If-Match", format!("\"{it}\""))),
-            Expect::Anything => None,
+            WriteCondition::Absent => Some(("If-None-Match", "*".to_owned())),
+            WriteCondition::Version(it) => Some(("If-Match", format!("\"{it}\""))),
+            WriteCondition::Unconditional => None,
         };
         let resp = self.call(Method::PUT, &format!("/objects/{key}"), condition, value, CALL_TIMEOUT)?;
         match resp.status().as_u16() {
             200 | 201 => version(&resp),
             412 => Err(StoreError::Conflict),
-            it => Err(StoreError::NoAnswer(format!("status {it}").into())),
+            it => Err(StoreError::NoResponse(format!("status {it}").into())),
         }
     }
 
@@ -79,7 +79,7 @@
         let resp = self.call(Method::DELETE, &format!("/objects/{key}"), None, &[], CALL_TIMEOUT)?;
         match resp.status().as_u16() {
             200 | 204 | 404 => Ok(()),
-            it => Err(StoreError::NoAnswer(format!("status {it}").into())),
+            it => Err(StoreError::NoResponse(format!("status {it}").into())),
         }
     }
 
@@ -103,18 +103,18 @@
 fn version(resp: &Response) -> Result<ObjectVersion, StoreError> {
     let tag = resp.headers().get("ETag").and_then(|it| it.to_str().ok());
     tag.and_then(|it| it.trim_matches('"').parse().ok())
-        .ok_or_else(|| StoreError::NoAnswer(format!("status {} without a version", resp.status()).into()))
+        .ok_or_else(|| StoreError::NoResponse(format!("status {} without a version", resp.status()).into()))
 }
 
 /// The whole body; one that is shorter than its stated length is an error.
 fn body(resp: Response) -> Result<Vec<u8>, StoreError> {
     if !resp.is_success() {
-        return Err(StoreError::NoAnswer(format!("status {}", resp.status()).into()));
+        return Err(StoreError::NoResponse(format!("status {}", resp.status()).into()));
     }
     let length: Option<usize> = resp.headers().get("Content-Length").and_then(|it| it.to_str().ok()?.parse().ok());
     let bytes = resp.bytes().map_err(failed)?;
     match length {
-        Some(length) if bytes.len() != length => Err(StoreError::NoAnswer("the body was cut short".into())),
+        Some(length) if bytes.len() != length => Err(StoreError::NoResponse("the body was cut short".into())),
         _ => Ok(bytes),
     }
 }
@@ -125,6 +125,6 @@
         attohttpc::ErrorKind::Io(it) if it.kind() == io::ErrorKind::ConnectionRefused => {
             StoreError::Unreachable(error.to_string().into())
         }
-        _ => StoreError::NoAnswer(error.to_string().into()),
+        _ => StoreError::NoResponse(error.to_string().into()),
     }
 }
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -12,7 +12,7 @@
 use crate::{
     error::Error,
     rows::DaemonId,
-    store::{Expect, Object, ObjectStore, ObjectVersion, StoreError},
+    store::{Object, ObjectStore, ObjectVersion, StoreError, WriteCondition},
     targets::{
         ChangeId, ConfigChange, ConfigRoot, Difference, Digest, PartRef, Targets, Version, differences, digest, join,
         split,
@@ -64,7 +64,7 @@
 
 /// How an `apply` ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The change was accepted as this version.
     Accepted {
         /// The new version.
@@ -91,7 +91,7 @@
 }
 
 /// The targets a root names, read from the store.
-pub fn load_parts(platform: &dyn ObjectStore, root: &ConfigRoot) -> Result<Targets, Error> {
+pub fn load_targets(platform: &dyn ObjectStore, root: &ConfigRoot) -> Result<Targets, Error> {
     let mut parts = Vec::new();
     for it in &root.parts {
         parts.push(load_part(platform, it)?);
@@ -119,7 +119,7 @@
     who: &str,
     why: &str,
     patience: Duration,
-) -> Result<Applied, Error> {
+) -> Result<ApplyOutcome, Error> {
     let deadline = Instant::now() + patience;
     let current = retry(deadline, || current_root(platform))?;
     let (object_version, old) = match current {
@@ -128,12 +128,12 @@
     };
     check_base(based_on, old.as_ref())?;
     let old_targets = match &old {
-        Some(root) => retry(deadline, || load_parts(platform, root))?,
+        Some(root) => retry(deadline, || load_targets(platform, root))?,
         None => Targets::default(),
     };
     let differences = differences(&old_targets, targets);
     if let Some(root) = old.as_ref().filter(|_| differences.is_empty()) {
-        return Ok(Applied::Unchanged { version: root.version });
+        return Ok(ApplyOutcome::Unchanged { version: root.version });
     }
     let change =
         ConfigChange { id: rand::rng().random(), who: who.into(), when: util::unix_seconds(), why: why.into() };
@@ -141,7 +141,7 @@
     retry(deadline, || store_parts(platform, targets, old.as_ref()))?;
     retry(deadline, || store_audit(platform, &root, &differences))?;
     accept(platform, &root, object_version, deadline)?;
-    Ok(Applied::Accepted { version: root.version, differences })
+    Ok(ApplyOutcome::Accepted { version: root.version, differences })
 }
 
 fn check_base(based_on: Option<Version>, old: Option<&ConfigRoot>) -> Result<(), Error> {
@@ -177,7 +177,7 @@
         if known.binary_search(&PartRef(part.digest)).is_ok() {
             continue;
         }
-        match platform.put(&part_key(&part.digest), &part.bytes, Expect::Absent) {
+        match platform.put(&part_key(&part.digest), &part.bytes, WriteCondition::Absent) {
             Ok(_) | Err(StoreError::Conflict) => (),
             Err(it) => return Err(Error::platform("writing a part", it)),
         }
@@ -199,7 +199,7 @@
     };
     let bytes = rmp_serde::to_vec(&entry).expect("an audit entry can be coded");
     platform
-        .put(&audit_key(root.version, root.change.id), &bytes, Expect::Anything)
+        .put(&audit_key(root.version, root.change.id), &bytes, WriteCondition::Unconditional)
         .map(|_| ())
         .map_err(|it| Error::platform("writing the audit entry", it))
 }
@@ -211,7 +211,7 @@
     replaces: Option<ObjectVersion>,
     deadline: Instant,
 ) -> Result<(), Error> {
-    let expect = replaces.map_or(Expect::Absent, Expect::Version);
+    let expect = replaces.map_or(WriteCondition::Absent, WriteCondition::Version);
     let bytes = rmp_serde::to_vec(root).expect("a root can be coded");
     let mut backoff = BACKOFF_START;
     loop {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -9,7 +9,7 @@
 
 pub use client::StoreClient;
 pub use config::{
-    Applied, AuditEntry, ROOT_KEY, apply, audit_trail, current_root, load_parts, part_key, presence_key,
+    ApplyOutcome, AuditEntry, ROOT_KEY, apply, audit_trail, current_root, load_targets, part_key, presence_key,
     presence_prefix,
 };
 
@@ -27,13 +27,13 @@
 
 /// What a write demands of the object it replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expect {
+pub enum WriteCondition {
     /// There must be none.
     Absent,
     /// It must have this version.
     Version(ObjectVersion),
     /// Nothing is demanded.
-    Anything,
+    Unconditional,
 }
 
 /// Why a call to the store failed.
@@ -44,7 +44,7 @@
     Unreachable(Box<str>),
     /// The answer was lost or is an error; a write may have taken effect.
     #[error("the store gave no answer: {0}")]
-    NoAnswer(Box<str>),
+    NoResponse(Box<str>),
     /// The object has another version than the write demanded; nothing took effect.
     #[error("the object was changed by someone else")]
     Conflict,
@@ -59,7 +59,7 @@
     fn list(&self, prefix: &str) -> Result<Vec<Box<str>>, StoreError>;
 
     /// Writes an object if `expect` holds.
-    fn put(&self, key: &str, value: &[u8], expect: Expect) -> Result<ObjectVersion, StoreError>;
+    fn put(&self, key: &str, value: &[u8], expect: WriteCondition) -> Result<ObjectVersion, StoreError>;
 
     /// Removes an object, if it is there.
     fn remove(&self, key: &str) -> Result<(), StoreError>;
--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -130,7 +130,7 @@
     let store = StoreClient::new(fleet.store);
     let applied =
         apply(&store, targets, None, "stand-in", "idle", Duration::from_secs(30)).map_err(io::Error::other)?;
-    let jayreach::store::Applied::Accepted { version, .. } = applied else {
+    let jayreach::store::ApplyOutcome::Accepted { version, .. } = applied else {
         return Err(io::Error::other("the change changed nothing"));
     };
     let wait = |local: SocketAddr| {
--- a/standins/tests/membership.rs
+++ b/standins/tests/membership.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use jayreach::store::{Applied, StoreClient, apply, audit_trail};
+use jayreach::store::{ApplyOutcome, StoreClient, apply, audit_trail};
 use rustix::process::Signal;
 use standins::{
     deployment::{prairie, repository_file},
@@ -96,7 +96,7 @@
 
     let applied = apply(&store, &targets, None, "operator", "import", Duration::from_secs(10));
 
-    assert!(matches!(applied, Ok(Applied::Accepted { version: 2, .. })), "{applied:?}");
+    assert!(matches!(applied, Ok(ApplyOutcome::Accepted { version: 2, .. })), "{applied:?}");
     let newest = audit_trail(&store, 1).expect("the trail").remove(0);
     // All are new, the sample's account, routes and services go, and one class has another lateness.
     let (added, removed, changed) = (20_000 + 100 + 10, 1 + 3 + 3, 1);
