--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -15,7 +15,7 @@
         client::Connection,
         peers::{CONTROL_TIMEOUT, PeerCall, Probe, Probed},
     },
-    rows::{Compare, Compared, Deliver, Delivered, Row, Stamp},
+    rows::{CompareRequest, CompareResponse, DeliverRequest, DeliverResponse, Row, Stamp},
     store::presence_prefix,
     ticket::Silence,
     util::lock,
@@ -107,11 +107,11 @@
 
 /// Compares tables with a peer and evens them out.
 fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), Silence> {
-    let compare = Compare::new(&lock(&daemon.table), daemon.config.version());
-    let call = |call, message: &Deliver| {
-        daemon.peers.call::<_, Delivered>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
+    let compare = CompareRequest::new(&lock(&daemon.table), daemon.config.version());
+    let call = |call, message: &DeliverRequest| {
+        daemon.peers.call::<_, DeliverResponse>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
     };
-    let compared: Compared =
+    let compared: CompareResponse =
         daemon.peers.call(address, PeerCall::Compare, &compare, Connection::Fresh, CONTROL_TIMEOUT)?;
     if compared.version > daemon.config.version() {
         daemon.fetch_from_peer(address);
@@ -146,12 +146,12 @@
 
 impl Daemon {
     /// Answers a peer's comparison.
-    pub(crate) fn compared(self: &Arc<Self>, compare: &Compare) -> Compared {
+    pub(crate) fn compared(self: &Arc<Self>, compare: &CompareRequest) -> CompareResponse {
         compare.answer(&lock(&self.table), self.config.version())
     }
 
     /// Answers a peer's delivery.
-    pub(crate) fn delivered(&self, deliver: Deliver) -> Delivered {
+    pub(crate) fn delivered(&self, deliver: DeliverRequest) -> DeliverResponse {
         let mut table = lock(&self.table);
         let (delivered, news) = deliver.answer(&mut table, Instant::now());
         self.view_news(&news);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -53,7 +53,7 @@
     },
     decide::ClassRetryBudget,
     error::Error,
-    rows::{Incarnation, OwnClaims, Row, Stamp, Table},
+    rows::{HigherIncarnationPolicy, Incarnation, MemberTable, Row, Stamp},
     settings::Settings,
     store::{ObjectStore, StoreClient},
     targets::{EjectionPreference, Importance},
@@ -116,7 +116,7 @@
     started: Instant,
     phase: PhaseCell,
     config: ConfigCell,
-    table: Mutex<Table>,
+    table: Mutex<MemberTable>,
     view: View,
     home: HomeDesk,
     guard: GuardDesk,
@@ -233,7 +233,7 @@
             started: now,
             phase: PhaseCell::default(),
             config: ConfigCell::default(),
-            table: Mutex::new(Table::new(row, OwnClaims::Stand, now)),
+            table: Mutex::new(MemberTable::new(row, HigherIncarnationPolicy::Accept, now)),
             view: View::new(settings.data_centre.clone()),
             home: HomeDesk::new(settings.name.clone(), incarnation),
             guard: GuardDesk::new(incarnation),
@@ -302,7 +302,7 @@
     /// Changes the own row and tells the fleet.
     fn edit_row(&self, edit: impl FnOnce(&mut Row)) {
         let mut table = lock(&self.table);
-        table.edit_own(Instant::now(), edit);
+        table.update_own(Instant::now(), edit);
         let row = Row::clone(table.own());
         self.take_in(&row);
         drop(table);
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -14,7 +14,7 @@
         config::Config,
         http::{Request, path, respond},
     },
-    rows::{Compare, Compared, DaemonId, Deliver, Delivered, Push},
+    rows::{CompareRequest, CompareResponse, DaemonId, DeliverRequest, DeliverResponse, PushRequest},
     targets::{Importance, PartRef},
     ticket::Silence,
     wire::{
@@ -47,11 +47,11 @@
     Ticket,
     /// `TicketQuery` to `TicketStatus`, from a guard's ledger.
     Ledger,
-    /// `Compare` to `Compared`.
+    /// `CompareRequest` to `CompareResponse`.
     Compare,
-    /// `Deliver` to `Delivered`.
+    /// `DeliverRequest` to `DeliverResponse`.
     Deliver,
-    /// `Push` to nothing.
+    /// `PushRequest` to nothing.
     Push,
     /// `Probe` to `Probed`.
     Probe,
@@ -249,15 +249,15 @@
             Some(encode::<TicketStatus>(&daemon.guard.status(&it.ticket)))
         }
         PeerCall::Compare => {
-            let it: Compare = decode(body).ok()?;
-            Some(encode::<Compared>(&daemon.compared(&it)))
+            let it: CompareRequest = decode(body).ok()?;
+            Some(encode::<CompareResponse>(&daemon.compared(&it)))
         }
         PeerCall::Deliver => {
-            let it: Deliver = decode(body).ok()?;
-            Some(encode::<Delivered>(&daemon.delivered(it)))
+            let it: DeliverRequest = decode(body).ok()?;
+            Some(encode::<DeliverResponse>(&daemon.delivered(it)))
         }
         PeerCall::Push => {
-            let it: Push = decode(body).ok()?;
+            let it: PushRequest = decode(body).ok()?;
             daemon.pushed(it);
             Some(Vec::new())
         }
--- a/src/daemon/spread.rs
+++ b/src/daemon/spread.rs
@@ -15,7 +15,7 @@
         client::Connection,
         peers::{CONTROL_TIMEOUT, PeerCall},
     },
-    rows::{Push, Row},
+    rows::{PushRequest, Row},
     util::lock,
     wire::encode,
 };
@@ -64,7 +64,7 @@
         let table = lock(&daemon.table);
         table.live().map(|it| it.peers).sample(&mut rand::rng(), fanout)
     };
-    let push = Push { rows, version: daemon.config.version(), sender: daemon.settings.peers };
+    let push = PushRequest { rows, version: daemon.config.version(), sender: daemon.settings.peers };
     let bytes = Arc::new(encode(&push));
     for address in peers {
         let cx = Arc::clone(daemon);
@@ -100,7 +100,7 @@
     }
 
     /// Takes a push in.
-    pub(crate) fn pushed(self: &Arc<Self>, push: Push) {
+    pub(crate) fn pushed(self: &Arc<Self>, push: PushRequest) {
         if push.version > self.config.version() {
             self.fetch_from_peer(push.sender);
         }
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -8,7 +8,9 @@
     decide::{incarnation::EndpointId, suspicion::EndpointStanding},
     platform::PresenceObject,
     proxy::routes::{ServiceName, Version},
-    rows::{self, Compare, Compared, DaemonKey, Merge, OwnClaims, Stamp, Table},
+    rows::{
+        self, CompareRequest, CompareResponse, HigherIncarnationPolicy, MemberKey, MemberTable, MergeResult, Stamp,
+    },
 };
 
 /// A proxy's name, unique in the fleet.
@@ -63,7 +65,7 @@
 
 /// The rows of all proxies, this one's included.
 pub struct Directory {
-    table: Table<GuardedService>,
+    table: MemberTable<GuardedService>,
     /// Of the live rows; `None` while they must be counted anew.
     counts: Option<Counts>,
 }
@@ -78,7 +80,7 @@
 impl Directory {
     /// A directory that holds the owner's row only.
     pub fn new(own: Row, now: Instant) -> Self {
-        Self { table: Table::new(own, OwnClaims::Outbid, now), counts: None }
+        Self { table: MemberTable::new(own, HigherIncarnationPolicy::Supersede, now), counts: None }
     }
 
     /// The owner's row.
@@ -87,13 +89,13 @@
     }
 
     /// The hash of the owner's name.
-    pub fn own_key(&self) -> DaemonKey {
+    pub fn own_key(&self) -> MemberKey {
         self.table.own_key()
     }
 
     /// Changes the owner's row.
-    pub fn edit_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row)) {
-        self.table.edit_own(now, edit);
+    pub fn update_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row)) {
+        self.table.update_own(now, edit);
         self.counts = None;
     }
 
@@ -103,12 +105,12 @@
     }
 
     /// The row with this short name.
-    pub fn get_by_key(&self, key: DaemonKey) -> Option<&Arc<Row>> {
+    pub fn get_by_key(&self, key: MemberKey) -> Option<&Arc<Row>> {
         self.table.by_key(key)
     }
 
     /// The rows of the other proxies that neither left nor are held to be down, with their short names.
-    pub fn members(&self) -> impl Iterator<Item = (DaemonKey, &Arc<Row>)> {
+    pub fn members(&self) -> impl Iterator<Item = (MemberKey, &Arc<Row>)> {
         let own = self.own_key();
         self.table.entries().iter().map(|it| (it.key(), &it.row)).filter(move |(key, row)| *key != own && is_live(row))
     }
@@ -150,7 +152,7 @@
     }
 
     /// Takes a row in if it is newer than what is known.
-    pub fn merge(&mut self, row: Row, now: Instant) -> Merge {
+    pub fn merge(&mut self, row: Row, now: Instant) -> MergeResult {
         self.counts = None;
         self.table.merge(row, now)
     }
@@ -193,26 +195,26 @@
     }
 
     /// The table, for an exchange with another's.
-    pub fn table(&self) -> &Table<GuardedService> {
+    pub fn table(&self) -> &MemberTable<GuardedService> {
         &self.table
     }
 
     /// Opens an exchange.
-    pub fn compare(&self, version: Version) -> Compare {
-        Compare::new(&self.table, version)
+    pub fn compare(&self, version: Version) -> CompareRequest {
+        CompareRequest::new(&self.table, version)
     }
 
     /// Answers an exchange.
-    pub fn answer_compare(&self, compare: &Compare, version: Version) -> Compared {
+    pub fn answer_compare(&self, compare: &CompareRequest, version: Version) -> CompareResponse {
         compare.answer(&self.table, version)
     }
 
     /// Ends an exchange that another opened.
     pub fn answer_deliver(
         &mut self,
-        deliver: rows::Deliver<GuardedService>,
+        deliver: rows::DeliverRequest<GuardedService>,
         now: Instant,
-    ) -> (rows::Delivered<GuardedService>, Vec<Row>) {
+    ) -> (rows::DeliverResponse<GuardedService>, Vec<Row>) {
         self.counts = None;
         deliver.answer(&mut self.table, now)
     }
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -14,10 +14,10 @@
         Proxy, clock,
         directory::{ProxyStatus, Row, StatusUpdate},
         events::Event,
-        message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
+        message::{DeliverRequest, DeliverResponse, GuardReport, Hello, HelloResponse, StateSummary, path},
         peer_link::Link,
     },
-    rows::{Compare, Compared, Stamp},
+    rows::{CompareRequest, CompareResponse, Stamp},
 };
 
 /// Changes of our row are gathered this long.
@@ -171,7 +171,7 @@
                 () = self.guard.row_changed.notified() => {
                     self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     let endpoint = self.guard.endpoint_row();
-                    self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
+                    self.directory.borrow_mut().update_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
                     self.request_hello_to_all();
                 }
                 () = self.guard.standing_changed.notified() => {
@@ -226,11 +226,12 @@
             return;
         }
         let compare = self.directory.borrow().compare(self.version());
-        let Some(compared) = link.call_within::<_, Compared>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await else {
+        let Some(compared) = link.call_within::<_, CompareResponse>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await
+        else {
             return;
         };
         let Some(deliver) = compared.follow_up(self.directory.borrow().table()) else { return };
-        if let Some(it) = link.call_within::<_, Delivered>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
+        if let Some(it) = link.call_within::<_, DeliverResponse>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
             self.merge_rows(it.rows);
         }
     }
@@ -272,12 +273,12 @@
     }
 
     /// Answers with the stamps of what differs.
-    pub(super) fn answer_compare(&self, compare: &Compare) -> Compared {
+    pub(super) fn answer_compare(&self, compare: &CompareRequest) -> CompareResponse {
         self.directory.borrow().answer_compare(compare, self.version())
     }
 
     /// Takes rows in, and answers with those that the caller lacks.
-    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
+    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: DeliverRequest) -> DeliverResponse {
         let (delivered, news) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
         self.handle_changed_rows(&news);
         delivered
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -359,6 +359,6 @@
 }
 
 /// Ends an exchange of rows.
-pub(super) type Deliver = crate::rows::Deliver<GuardedService>;
-/// Answers [`Deliver`].
-pub(super) type Delivered = crate::rows::Delivered<GuardedService>;
+pub(super) type DeliverRequest = crate::rows::DeliverRequest<GuardedService>;
+/// Answers [`DeliverRequest`].
+pub(super) type DeliverResponse = crate::rows::DeliverResponse<GuardedService>;
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -25,7 +25,7 @@
         directory::{ProxyStatus, Row},
         net::{self, AbortOnDropTask, LocalExecutor},
     },
-    rows::{DaemonKey, Incarnation, Stamp, daemon_key},
+    rows::{Incarnation, MemberKey, Stamp, member_key},
 };
 
 /// How long a connection may take to open: one lost packet costs a second.
@@ -63,7 +63,7 @@
     /// Where the proxy is.
     pub(super) address: SocketAddr,
     /// The hash of its name.
-    pub(super) key: DaemonKey,
+    pub(super) key: MemberKey,
     /// Whether it is in this proxy's data centre.
     pub(super) same_data_centre: bool,
     /// This proxy chose it.
@@ -122,7 +122,7 @@
     pub(super) fn new(row: &Row, same_data_centre: bool) -> Self {
         Self {
             address: row.peers,
-            key: daemon_key(&row.daemon),
+            key: member_key(&row.daemon),
             same_data_centre,
             selected: Cell::new(false),
             selected_by_peer: Cell::new(false),
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -92,7 +92,7 @@
         if self.guard.serving_endpoint().is_some() {
             return;
         }
-        self.directory.borrow_mut().edit_own(clock::now(), |it| it.leaving = true);
+        self.directory.borrow_mut().update_own(clock::now(), |it| it.leaving = true);
         self.request_hello_to_all();
         if let Err(error) = self.store.remove_presence(&self.name).await {
             log::debug!("removing this proxy's presence object from the store: {error}");
--- a/src/rows/exchange.rs
+++ b/src/rows/exchange.rs
@@ -1,7 +1,7 @@
 //! The anti-entropy exchange between two tables, and the push of news.
 //!
-//! Two round trips at most: `Compare` names the digest of every bucket, the answer the stamps in
-//! those that differ; `Deliver` brings what the asker has newer and names what it wants.
+//! Two round trips at most: `CompareRequest` names the digest of every bucket, the answer the stamps in
+//! those that differ; `DeliverRequest` brings what the asker has newer and names what it wants.
 
 use std::time::Instant;
 
@@ -10,14 +10,14 @@
 use crate::{
     rows::{
         row::{EndpointRow, Row, Stamp},
-        table::{DaemonKey, Merge, Table},
+        table::{MemberKey, MemberTable, MergeResult},
     },
     targets::Version,
 };
 
 /// Opens an exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Compare {
+pub struct CompareRequest {
     /// The sender's digest by buckets, as little-endian words.
     #[serde(with = "serde_bytes")]
     pub digest: Vec<u8>,
@@ -31,12 +31,12 @@
     /// Which bucket.
     pub bucket: u16,
     /// What the answerer has in it.
-    pub stamps: Vec<(DaemonKey, Stamp)>,
+    pub stamps: Vec<(MemberKey, Stamp)>,
 }
 
-/// Answers `Compare`.
+/// Answers `CompareRequest`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Compared {
+pub struct CompareResponse {
     /// The buckets that differ.
     pub differing: Vec<BucketStamps>,
     /// The version the answerer has in force.
@@ -45,23 +45,23 @@
 
 /// Ends an exchange in which something differed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Deliver<E = Vec<EndpointRow>> {
+pub struct DeliverRequest<E = Vec<EndpointRow>> {
     /// What the sender has newer.
     pub rows: Vec<Row<E>>,
     /// What it wants.
-    pub wanted: Vec<DaemonKey>,
+    pub wanted: Vec<MemberKey>,
 }
 
-/// Answers `Deliver`.
+/// Answers `DeliverRequest`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Delivered<E = Vec<EndpointRow>> {
+pub struct DeliverResponse<E = Vec<EndpointRow>> {
     /// The rows that were wanted.
     pub rows: Vec<Row<E>>,
 }
 
 /// News, sent at once to a few peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Push {
+pub struct PushRequest {
     /// The rows that changed.
     pub rows: Vec<Row>,
     /// The version the sender has in force.
@@ -70,27 +70,27 @@
     pub sender: std::net::SocketAddr,
 }
 
-impl Compare {
+impl CompareRequest {
     /// Opens an exchange for `table`.
-    pub fn new<E: Clone>(table: &Table<E>, version: Version) -> Self {
+    pub fn new<E: Clone>(table: &MemberTable<E>, version: Version) -> Self {
         let digest = table.buckets().iter().flat_map(|it| it.to_le_bytes()).collect();
         Self { digest, version }
     }
 
     /// The answer of `table`.
-    pub fn answer<E: Clone>(&self, table: &Table<E>, version: Version) -> Compared {
+    pub fn answer<E: Clone>(&self, table: &MemberTable<E>, version: Version) -> CompareResponse {
         let theirs = self.digest.chunks_exact(4);
         let pairs = table.buckets().iter().zip(theirs).enumerate();
         let differing = pairs.filter(|(_, (ours, theirs))| ours.to_le_bytes() != **theirs);
         let differing = differing.map(|(at, _)| BucketStamps { bucket: at as u16, stamps: table.bucket(at) }).collect();
-        Compared { differing, version }
+        CompareResponse { differing, version }
     }
 }
 
-impl Compared {
+impl CompareResponse {
     /// What to deliver and to ask for; `None` if the tables agree.
-    pub fn follow_up<E: Clone>(&self, table: &Table<E>) -> Option<Deliver<E>> {
-        let mut deliver = Deliver { rows: Vec::new(), wanted: Vec::new() };
+    pub fn follow_up<E: Clone>(&self, table: &MemberTable<E>) -> Option<DeliverRequest<E>> {
+        let mut deliver = DeliverRequest { rows: Vec::new(), wanted: Vec::new() };
         for it in &self.differing {
             let mut theirs = it.stamps.clone();
             theirs.sort();
@@ -104,32 +104,32 @@
 }
 
 /// The keys that `here` has newer than `there`; both are sorted by key.
-fn newer<'a>(here: &'a [(DaemonKey, Stamp)], there: &'a [(DaemonKey, Stamp)]) -> impl Iterator<Item = DaemonKey> + 'a {
+fn newer<'a>(here: &'a [(MemberKey, Stamp)], there: &'a [(MemberKey, Stamp)]) -> impl Iterator<Item = MemberKey> + 'a {
     here.iter().filter_map(|(key, stamp)| {
         let known = there.binary_search_by_key(key, |it| it.0).ok().map(|at| there[at].1);
         known.is_none_or(|it| it < *stamp).then_some(*key)
     })
 }
 
-impl<E: Clone> Deliver<E> {
+impl<E: Clone> DeliverRequest<E> {
     /// Takes the rows in and answers with those that are wanted; also returns the news.
-    pub fn answer(self, table: &mut Table<E>, now: Instant) -> (Delivered<E>, Vec<Row<E>>) {
+    pub fn answer(self, table: &mut MemberTable<E>, now: Instant) -> (DeliverResponse<E>, Vec<Row<E>>) {
         let wanted = self.wanted.iter().filter_map(|it| table.by_key(*it));
         let rows = wanted.map(|it| Row::clone(it)).collect();
         let news = table.merge_all(self.rows, now);
-        (Delivered { rows }, news)
+        (DeliverResponse { rows }, news)
     }
 }
 
-impl<E: Clone> Table<E> {
+impl<E: Clone> MemberTable<E> {
     /// Takes rows in; returns those that were news, and the own row if it had to be defended.
     pub fn merge_all(&mut self, rows: Vec<Row<E>>, now: Instant) -> Vec<Row<E>> {
         let mut news = Vec::new();
         for row in rows {
             match self.merge(row.clone(), now) {
-                Merge::News => news.push(row),
-                Merge::Contradicts => news.push(Row::clone(self.own())),
-                Merge::Old => (),
+                MergeResult::Updated => news.push(row),
+                MergeResult::Conflict => news.push(Row::clone(self.own())),
+                MergeResult::Ignored => (),
             }
         }
         news
--- a/src/rows/mod.rs
+++ b/src/rows/mod.rs
@@ -4,6 +4,6 @@
 mod row;
 mod table;
 
-pub use exchange::{BucketStamps, Compare, Compared, Deliver, Delivered, Push};
+pub use exchange::{BucketStamps, CompareRequest, CompareResponse, DeliverRequest, DeliverResponse, PushRequest};
 pub use row::{DaemonId, EndpointId, EndpointRow, EndpointState, Incarnation, Row, Stamp};
-pub use table::{BUCKETS, DaemonKey, Entry, Merge, OwnClaims, Table, daemon_key};
+pub use table::{BUCKETS, HigherIncarnationPolicy, MemberKey, MemberTable, MergeResult, TableEntry, member_key};
--- a/src/rows/table.rs
+++ b/src/rows/table.rs
@@ -18,64 +18,64 @@
 const FORGET_DOWN: Duration = Duration::from_secs(6 * 3600);
 
 /// A short name of a daemon in digests.
-pub type DaemonKey = u64;
+pub type MemberKey = u64;
 
 /// The short name of a daemon.
-pub fn daemon_key(daemon: &str) -> DaemonKey {
+pub fn member_key(daemon: &str) -> MemberKey {
     stable_hash(&[daemon.as_bytes()])
 }
 
 /// A row and when it was last replaced.
 #[derive(Debug, Clone)]
-pub struct Entry<E = Vec<EndpointRow>> {
-    key: DaemonKey,
+pub struct TableEntry<E = Vec<EndpointRow>> {
+    key: MemberKey,
     /// The row.
     pub row: Arc<Row<E>>,
     /// When this daemon took the row in.
     pub since: Instant,
 }
 
-impl<E> Entry<E> {
+impl<E> TableEntry<E> {
     /// The short name of the row's owner.
-    pub fn key(&self) -> DaemonKey {
+    pub fn key(&self) -> MemberKey {
         self.key
     }
 }
 
 /// What became of a row that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeResult {
     /// It was newer and was taken in.
-    News,
+    Updated,
     /// It was known, or older.
-    Old,
+    Ignored,
     /// It speaks of this daemon itself and claims what only the owner may.
-    Contradicts,
+    Conflict,
 }
 
 /// What the owner makes of a row of its name with a higher incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnClaims {
+pub enum HigherIncarnationPolicy {
     /// Another process has its name, and can't be refuted.
-    Stand,
+    Accept,
     /// It is of an earlier run, begun before the VM's clock was set back: the owner goes above it.
-    Outbid,
+    Supersede,
 }
 
 /// All rows one daemon knows.
-pub struct Table<E = Vec<EndpointRow>> {
-    own: DaemonKey,
-    claims: OwnClaims,
+pub struct MemberTable<E = Vec<EndpointRow>> {
+    own: MemberKey,
+    claims: HigherIncarnationPolicy,
     /// Sorted by key, one entry a daemon.
-    entries: Vec<Entry<E>>,
+    entries: Vec<TableEntry<E>>,
     /// Each is the sum of the hashes of its rows' stamps.
     buckets: Vec<u32>,
 }
 
-impl<E: Clone> Table<E> {
+impl<E: Clone> MemberTable<E> {
     /// A table that holds the owner's row only.
-    pub fn new(own: Row<E>, claims: OwnClaims, now: Instant) -> Self {
-        let key = daemon_key(&own.daemon);
+    pub fn new(own: Row<E>, claims: HigherIncarnationPolicy, now: Instant) -> Self {
+        let key = member_key(&own.daemon);
         let mut table = Self { own: key, claims, entries: Vec::new(), buckets: vec![0; BUCKETS] };
         table.store(key, Arc::new(own), now);
         table
@@ -88,12 +88,12 @@
     }
 
     /// The short name of the owner.
-    pub fn own_key(&self) -> DaemonKey {
+    pub fn own_key(&self) -> MemberKey {
         self.own
     }
 
     /// Replaces the owner's row after `edit`, with the next sequence.
-    pub fn edit_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row<E>)) {
+    pub fn update_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row<E>)) {
         let mut row = Row::clone(self.own());
         edit(&mut row);
         row.stamp.sequence += 1;
@@ -105,35 +105,35 @@
     ///
     /// An unknown row that is down is not taken in: it would come back for ever, since each
     /// daemon forgets it at another time.
-    pub fn merge(&mut self, row: Row<E>, now: Instant) -> Merge {
-        let key = daemon_key(&row.daemon);
+    pub fn merge(&mut self, row: Row<E>, now: Instant) -> MergeResult {
+        let key = member_key(&row.daemon);
         let known = self.find(key).map(|at| &self.entries[at].row);
         if known.is_none() && row.stamp.down {
-            return Merge::Old;
+            return MergeResult::Ignored;
         }
         if known.is_some_and(|it| it.stamp >= row.stamp) {
-            return Merge::Old;
+            return MergeResult::Ignored;
         }
         if key == self.own {
             self.refute(row.stamp, now);
-            return Merge::Contradicts;
+            return MergeResult::Conflict;
         }
         self.store(key, Arc::new(row), now);
-        Merge::News
+        MergeResult::Updated
     }
 
     /// Answers a claim about the owner with a higher stamp, if it may.
     fn refute(&mut self, claim: Stamp, now: Instant) {
         if claim.incarnation == self.own().stamp.incarnation {
-            self.edit_own(now, |it| it.stamp.sequence = claim.sequence);
-        } else if self.claims == OwnClaims::Outbid {
-            self.edit_own(now, |it| it.stamp.incarnation = claim.incarnation + 1);
+            self.update_own(now, |it| it.stamp.sequence = claim.sequence);
+        } else if self.claims == HigherIncarnationPolicy::Supersede {
+            self.update_own(now, |it| it.stamp.incarnation = claim.incarnation + 1);
         }
     }
 
     /// Marks a daemon as down, as of the stamp that was probed.
     pub fn mark_down(&mut self, daemon: &str, probed: Stamp, now: Instant) -> bool {
-        let key = daemon_key(daemon);
+        let key = member_key(daemon);
         let Some(at) = self.find(key) else { return false };
         if key == self.own || self.entries[at].row.stamp != probed || probed.down {
             return false;
@@ -147,7 +147,7 @@
     /// Drops rows of daemons that left or are down for long; whether there were any.
     pub fn forget(&mut self, now: Instant) -> bool {
         let own = self.own;
-        let kept = |it: &Entry<E>| {
+        let kept = |it: &TableEntry<E>| {
             let limit = match (it.row.leaving, it.row.stamp.down) {
                 (true, _) => FORGET_LEFT,
                 (false, true) => FORGET_DOWN,
@@ -176,17 +176,17 @@
     }
 
     /// All entries, sorted by key.
-    pub fn entries(&self) -> &[Entry<E>] {
+    pub fn entries(&self) -> &[TableEntry<E>] {
         &self.entries
     }
 
     /// The row of a daemon.
     pub fn get(&self, daemon: &str) -> Option<&Arc<Row<E>>> {
-        self.by_key(daemon_key(daemon))
+        self.by_key(member_key(daemon))
     }
 
     /// The row with this short name.
-    pub fn by_key(&self, key: DaemonKey) -> Option<&Arc<Row<E>>> {
+    pub fn by_key(&self, key: MemberKey) -> Option<&Arc<Row<E>>> {
         self.find(key).map(|at| &self.entries[at].row)
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// The short names and stamps in one bucket.
-    pub fn bucket(&self, bucket: usize) -> Vec<(DaemonKey, Stamp)> {
+    pub fn bucket(&self, bucket: usize) -> Vec<(MemberKey, Stamp)> {
         let (start, end) = bucket_range(bucket);
         let from = self.entries.partition_point(|it| it.key < start);
         let rows = self.entries[from..].iter().take_while(|it| it.key <= end);
@@ -214,13 +214,13 @@
         self.entries.iter().filter(|it| it.row.stamp.down && !it.row.leaving).map(|it| &it.row)
     }
 
-    fn find(&self, key: DaemonKey) -> Option<usize> {
+    fn find(&self, key: MemberKey) -> Option<usize> {
         self.entries.binary_search_by_key(&key, |it| it.key).ok()
     }
 
-    fn store(&mut self, key: DaemonKey, row: Arc<Row<E>>, now: Instant) {
+    fn store(&mut self, key: MemberKey, row: Arc<Row<E>>, now: Instant) {
         let stamp = row.stamp;
-        let entry = Entry { key, row, since: now };
+        let entry = TableEntry { key, row, since: now };
         match self.entries.binary_search_by_key(&key, |it| it.key) {
             Ok(at) => {
                 let old = self.entries[at].row.stamp;
@@ -234,23 +234,23 @@
     }
 
     /// Adds a stamp to its bucket's sum, or takes it out.
-    fn toggle(&mut self, key: DaemonKey, stamp: Stamp, add: bool) {
+    fn toggle(&mut self, key: MemberKey, stamp: Stamp, add: bool) {
         let hash = stamp_hash(key, stamp);
         let bucket = &mut self.buckets[bucket_of(key)];
         *bucket = if add { bucket.wrapping_add(hash) } else { bucket.wrapping_sub(hash) };
     }
 }
 
-fn bucket_of(key: DaemonKey) -> usize {
+fn bucket_of(key: MemberKey) -> usize {
     (key >> (u64::BITS - BUCKETS.trailing_zeros())) as usize
 }
 
-fn bucket_range(bucket: usize) -> (DaemonKey, DaemonKey) {
+fn bucket_range(bucket: usize) -> (MemberKey, MemberKey) {
     let width = u64::MAX / BUCKETS as u64 + 1;
     let start = bucket as u64 * width;
     (start, start + (width - 1))
 }
 
-fn stamp_hash(key: DaemonKey, stamp: Stamp) -> u32 {
+fn stamp_hash(key: MemberKey, stamp: Stamp) -> u32 {
     mix(&[key, stamp.incarnation, stamp.sequence, u64::from(stamp.down)]) as u32
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -10,7 +10,8 @@
         AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, FailureDetector, Sample, choose_endpoint,
     },
     rows::{
-        BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
+        BucketStamps, CompareRequest, CompareResponse, DeliverRequest, EndpointRow, EndpointState,
+        HigherIncarnationPolicy, MemberTable, Row, Stamp, member_key,
     },
     targets::{
         Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
@@ -77,9 +78,9 @@
 }
 
 /// A table of `count` rows, in which the first `newer` have a higher sequence.
-fn table(count: usize, newer: usize, own: usize) -> Table {
+fn table(count: usize, newer: usize, own: usize) -> MemberTable {
     let now = Instant::now();
-    let mut table = Table::new(row(own, 1), OwnClaims::Stand, now);
+    let mut table = MemberTable::new(row(own, 1), HigherIncarnationPolicy::Accept, now);
     for number in (0..count).filter(|it| *it != own) {
         table.merge(row(number, if number < newer { 2 } else { 1 }), now);
     }
@@ -93,11 +94,11 @@
     for count in [30, 300, 2400] {
         let asker = table(count, 0, count - 1);
         let mut answerer = table(count, DIFFERING, count - 2);
-        let equal = bytes(&Compare::new(&asker, 1), &Compare::new(&asker, 1).answer(&asker, 1), None);
+        let equal = bytes(&CompareRequest::new(&asker, 1), &CompareRequest::new(&asker, 1).answer(&asker, 1), None);
         let mut size = 0;
         let time = median(|| {
             let start = Instant::now();
-            let compare = Compare::new(&asker, 1);
+            let compare = CompareRequest::new(&asker, 1);
             let compared = compare.answer(&answerer, 1);
             let deliver = compared.follow_up(&asker).expect("the tables differ");
             let (delivered, _) = deliver.clone().answer(&mut answerer, Instant::now());
@@ -119,18 +120,18 @@
     );
 }
 
-fn bytes(compare: &Compare, compared: &Compared, deliver: Option<&Deliver>) -> usize {
+fn bytes(compare: &CompareRequest, compared: &CompareResponse, deliver: Option<&DeliverRequest>) -> usize {
     encode(compare).len() + encode(compared).len() + deliver.map_or(0, |it| encode(it).len())
 }
 
 /// Bytes of an exchange's digests for other numbers of buckets, by the same codec.
 fn digests() {
     println!("# digests at 2,400 daemons, {DIFFERING} rows differ: bytes of digest and stamps an exchange");
-    let stamps: Vec<_> = (0..2400).map(|it| (daemon_key(&format!("vm-{it}")), row(it, 1).stamp)).collect();
+    let stamps: Vec<_> = (0..2400).map(|it| (member_key(&format!("vm-{it}")), row(it, 1).stamp)).collect();
     println!("{:>8} {:>10}", "buckets", "bytes");
     for buckets in [1_usize, 16, 64, 256, 1024, 4096] {
         let bucket = |key: u64| ((u128::from(key) * buckets as u128) >> 64) as usize;
-        let digest = Compare { digest: vec![0; if buckets == 1 { 0 } else { buckets * 4 }], version: 1 };
+        let digest = CompareRequest { digest: vec![0; if buckets == 1 { 0 } else { buckets * 4 }], version: 1 };
         let mut differing: Vec<_> = (0..DIFFERING).map(|it| bucket(stamps[it].0)).collect();
         differing.sort_unstable();
         differing.dedup();
@@ -138,7 +139,7 @@
             bucket: *at as u16,
             stamps: stamps.iter().filter(|it| bucket(it.0) == *at).copied().collect(),
         };
-        let compared = Compared { differing: differing.iter().map(stamps_of).collect(), version: 1 };
+        let compared = CompareResponse { differing: differing.iter().map(stamps_of).collect(), version: 1 };
         println!("{buckets:>8} {:>10}", bytes(&digest, &compared, None));
     }
 }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -9,7 +9,7 @@
     decide::incarnation::EndpointId,
     platform::PresenceObject,
     proxy::directory::{Directory, EndpointRow, GuardedService, Row},
-    rows::{Merge, Stamp},
+    rows::{MergeResult, Stamp},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use rstest::rstest;
@@ -51,11 +51,11 @@
 }
 
 #[rstest]
-#[case::a_later_change(row("b", 5, 3), Merge::News)]
-#[case::a_late_call(row("b", 5, 1), Merge::Old)]
-#[case::a_later_run(row("b", 6, 1), Merge::News)]
-#[case::an_earlier_run(row("b", 4, 9), Merge::Old)]
-fn the_newer_row_of_a_proxy_counts(#[case] told: Row, #[case] wanted: Merge) {
+#[case::a_later_change(row("b", 5, 3), MergeResult::Updated)]
+#[case::a_late_call(row("b", 5, 1), MergeResult::Ignored)]
+#[case::a_later_run(row("b", 6, 1), MergeResult::Updated)]
+#[case::an_earlier_run(row("b", 4, 9), MergeResult::Ignored)]
+fn the_newer_row_of_a_proxy_counts(#[case] told: Row, #[case] wanted: MergeResult) {
     let mut directory = directory("a", 1);
     directory.merge(row("b", 5, 2), Instant::now());
 
@@ -142,7 +142,7 @@
         .collect();
     let links: Vec<Vec<usize>> =
         (0..size).map(|me| (0..LINKED).map(|_| (me + rng.random_range(1..size)) % size).collect()).collect();
-    fleet[0].edit_own(Instant::now(), |it| it.endpoints.endpoint = endpoint("i-1"));
+    fleet[0].update_own(Instant::now(), |it| it.endpoints.endpoint = endpoint("i-1"));
     let changed = fleet[0].own().stamp;
 
     let knows = |it: &Directory| it.get("vm-0").is_some_and(|it| it.stamp == changed);
