--- a/src/daemon/client.rs
+++ b/src/daemon/client.rs
@@ -10,7 +10,7 @@
     http::{Request, Response},
 };
 
-use crate::{daemon::http::BODY_LIMIT, ticket::Silence, wire::Header};
+use crate::{daemon::http::BODY_LIMIT, ticket::ConnectionFailure, wire::Header};
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -54,7 +54,7 @@
         req: Request<Vec<u8>>,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<Reply, Silence> {
+    ) -> Result<Reply, ConnectionFailure> {
         let agent = match connection {
             Connection::Kept => &self.kept,
             Connection::Fresh => &self.fresh,
@@ -98,11 +98,11 @@
 }
 
 /// Only what fails while connecting proves that nothing was sent.
-fn silence(error: &ureq::Error) -> Silence {
+fn silence(error: &ureq::Error) -> ConnectionFailure {
     match error {
-        ureq::Error::ConnectionFailed | ureq::Error::Timeout(Timeout::Connect) => Silence::Refused,
-        ureq::Error::Io(it) if it.kind() == io::ErrorKind::ConnectionRefused => Silence::Refused,
-        ureq::Error::Io(it) if it.kind() == io::ErrorKind::AddrNotAvailable => Silence::NoLocalPort,
-        _ => Silence::Lost,
+        ureq::Error::ConnectionFailed | ureq::Error::Timeout(Timeout::Connect) => ConnectionFailure::Refused,
+        ureq::Error::Io(it) if it.kind() == io::ErrorKind::ConnectionRefused => ConnectionFailure::Refused,
+        ureq::Error::Io(it) if it.kind() == io::ErrorKind::AddrNotAvailable => ConnectionFailure::NoLocalPort,
+        _ => ConnectionFailure::Lost,
     }
 }
--- a/src/daemon/desk.rs
+++ b/src/daemon/desk.rs
@@ -7,21 +7,21 @@
 
 use crate::{
     rows::{DaemonId, Incarnation},
-    ticket::{Begin, GuardRef, Home, Tally},
+    ticket::{BeginDecision, GuardIncarnation, TicketCounts, TicketHome},
     util::lock,
     wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus},
 };
 
 /// The records of this daemon's tickets.
 pub(crate) struct HomeDesk {
-    home: Mutex<Home>,
+    home: Mutex<TicketHome>,
     /// Told whenever a run ends.
     ended: Condvar,
 }
 
 impl HomeDesk {
     pub(crate) fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
-        Self { home: Mutex::new(Home::new(daemon, incarnation)), ended: Condvar::new() }
+        Self { home: Mutex::new(TicketHome::new(daemon, incarnation)), ended: Condvar::new() }
     }
 
     /// Issues `count` tickets.
@@ -32,16 +32,16 @@
     }
 
     /// Begins a run or says why not; a run under way is waited for until `deadline`.
-    pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> Begin {
+    pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> BeginDecision {
         let mut home = lock(&self.home);
         loop {
             let begin = home.begin(ticket, fingerprint);
             let left = deadline.saturating_duration_since(Instant::now());
-            if begin != Begin::Join {
+            if begin != BeginDecision::Join {
                 return begin;
             }
             if left.is_zero() {
-                return Begin::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
+                return BeginDecision::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
             }
             let waited = self.ended.wait_timeout(home, left);
             home = waited.unwrap_or_else(PoisonError::into_inner).0;
@@ -49,7 +49,7 @@
     }
 
     /// Numbers the next attempt under a running ticket.
-    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardRef) -> Option<TicketLeg> {
+    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
         let mut home = lock(&self.home);
         let attempt = home.dispatch(ticket.sequence, guard)?;
         Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
@@ -68,7 +68,7 @@
     }
 
     /// The unknown tickets that may still be cleared up, with the low-water sequence.
-    pub(crate) fn unresolved(&self) -> (Vec<(Sequence, u32, GuardRef)>, Sequence) {
+    pub(crate) fn unresolved(&self) -> (Vec<(Sequence, u32, GuardIncarnation)>, Sequence) {
         let home = lock(&self.home);
         (home.unresolved(), home.low_water())
     }
@@ -79,7 +79,7 @@
     }
 
     /// How many records there are.
-    pub(crate) fn tally(&self) -> Tally {
+    pub(crate) fn tally(&self) -> TicketCounts {
         lock(&self.home).tally()
     }
 }
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -7,7 +7,7 @@
 use crate::{
     daemon::client::{Client, Connection, Reply},
     decide::Sample,
-    ticket::Silence,
+    ticket::ConnectionFailure,
     wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
 };
 
@@ -23,7 +23,7 @@
 
 enum Called {
     Answered(Reply),
-    Silent(Silence),
+    Silent(ConnectionFailure),
     NotSent(Refusal),
 }
 
@@ -60,9 +60,11 @@
             let Reply { status, headers, body } = reply;
             (Outcome::Done(Answer { status, headers, body }), Some(sample))
         }
-        Called::Silent(Silence::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
-        Called::Silent(Silence::Refused) => (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad)),
-        Called::Silent(Silence::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
+        Called::Silent(ConnectionFailure::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
+        Called::Silent(ConnectionFailure::Refused) => {
+            (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad))
+        }
+        Called::Silent(ConnectionFailure::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
     }
 }
 
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -19,7 +19,7 @@
     },
     rows::{EndpointId, EndpointRow, EndpointState, Incarnation},
     targets::EjectionPreference,
-    ticket::{Ledger, Opening},
+    ticket::{DispatchDecision, DispatchLedger},
     util::lock,
     wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
 };
@@ -89,7 +89,7 @@
 struct Inner {
     /// Sorted by id.
     endpoints: Vec<Endpoint>,
-    ledger: Ledger,
+    ledger: DispatchLedger,
 }
 
 /// The guard's state.
@@ -189,10 +189,10 @@
             return self.run_once(client, dispatch, hooks);
         };
         match lock(&self.inner).ledger.open(leg) {
-            Opening::Run => (),
-            Opening::Running => return Outcome::Unknown(Doubt::StillRunning),
-            Opening::Ended(outcome) => return outcome,
-            Opening::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
+            DispatchDecision::Run => (),
+            DispatchDecision::Running => return Outcome::Unknown(Doubt::StillRunning),
+            DispatchDecision::Ended(outcome) => return outcome,
+            DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
         let outcome = self.run_once(client, dispatch, hooks);
         lock(&self.inner).ledger.finish(&leg.ticket, outcome.clone());
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -20,7 +20,10 @@
         view::{Guard, Target},
     },
     targets::Importance,
-    ticket::{Begin, GuardRef, Silence, Verdict, judge_reply, judge_revoke, judge_silence},
+    ticket::{
+        BeginDecision, ConnectionFailure, GuardIncarnation, NextStep, step_after_connection_failure, step_after_reply,
+        step_after_revoke,
+    },
     wire::{
         Dispatch, DispatchReply, Doubt, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket, TicketLeg,
         TicketQuery, TicketStatus, Work,
@@ -107,14 +110,19 @@
     fn try_once(&self, target: &Arc<Target>, attempt: &Attempt<'_>) -> Outcome {
         match self.send(target, attempt, attempt.budget + GRACE) {
             Ok(reply) => reply.outcome,
-            Err(Silence::Refused) => Outcome::NotRun(Refusal::GuardUnreachable),
-            Err(Silence::NoLocalPort) => Outcome::NotRun(Refusal::Overloaded),
-            Err(Silence::Lost) => Outcome::Unknown(Doubt::GuardSilent),
+            Err(ConnectionFailure::Refused) => Outcome::NotRun(Refusal::GuardUnreachable),
+            Err(ConnectionFailure::NoLocalPort) => Outcome::NotRun(Refusal::Overloaded),
+            Err(ConnectionFailure::Lost) => Outcome::Unknown(Doubt::GuardSilent),
         }
     }
 
     /// Sends an attempt to its target's guard and waits for `timeout` at most.
-    fn send(&self, target: &Arc<Target>, attempt: &Attempt<'_>, timeout: Duration) -> Result<DispatchReply, Silence> {
+    fn send(
+        &self,
+        target: &Arc<Target>,
+        attempt: &Attempt<'_>,
+        timeout: Duration,
+    ) -> Result<DispatchReply, ConnectionFailure> {
         let dispatch = Dispatch {
             request_id: self.request_id(),
             guard_incarnation: target.guard.incarnation,
@@ -138,11 +146,11 @@
                 target.guard.answered();
                 target.tell(reply);
             }
-            Err(Silence::NoLocalPort) => (),
-            Err(Silence::Refused) => target.guard.failed(),
+            Err(ConnectionFailure::NoLocalPort) => (),
+            Err(ConnectionFailure::Refused) => target.guard.failed(),
             // A ticketed attempt is asked about before its path is blamed.
-            Err(Silence::Lost) if ticketed => (),
-            Err(Silence::Lost) => target.guard.failed(),
+            Err(ConnectionFailure::Lost) if ticketed => (),
+            Err(ConnectionFailure::Lost) => target.guard.failed(),
         }
         result
     }
@@ -165,8 +173,8 @@
         };
         match self.peers.forward(address, &forward, order.left() + GRACE) {
             Ok(outcome) => outcome,
-            Err(Silence::Refused | Silence::NoLocalPort) => self.ask_ledgers(order, ticket),
-            Err(Silence::Lost) => Outcome::Unknown(Doubt::HomeUnreachable),
+            Err(ConnectionFailure::Refused | ConnectionFailure::NoLocalPort) => self.ask_ledgers(order, ticket),
+            Err(ConnectionFailure::Lost) => Outcome::Unknown(Doubt::HomeUnreachable),
         }
     }
 
@@ -179,16 +187,16 @@
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
         match self.home.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
-            Begin::Run => {
+            BeginDecision::Run => {
                 let outcome = self.run_attempts(order, &forward.ticket, &forward.work);
                 Outcome::clone(&self.home.settle(forward.ticket.sequence, outcome))
             }
-            Begin::Ended(outcome) => Outcome::clone(&outcome),
-            Begin::Join => Outcome::Unknown(Doubt::StillRunning),
-            Begin::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
-            Begin::Expired => Outcome::Unknown(Doubt::TicketExpired),
-            Begin::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
-            Begin::Foreign => self.ask_ledgers(order, &forward.ticket),
+            BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
+            BeginDecision::Join => Outcome::Unknown(Doubt::StillRunning),
+            BeginDecision::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
+            BeginDecision::Expired => Outcome::Unknown(Doubt::TicketExpired),
+            BeginDecision::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
+            BeginDecision::Foreign => self.ask_ledgers(order, &forward.ticket),
         }
     }
 
@@ -207,9 +215,9 @@
                 Err(_) => break,
             };
             match self.run_attempt(order, ticket, work, &target) {
-                Verdict::Settle(outcome) => return outcome,
-                Verdict::TryAnother(refusal) => last = refusal,
-                Verdict::Ask => return Outcome::Unknown(Doubt::GuardSilent),
+                NextStep::Settle(outcome) => return outcome,
+                NextStep::TryAnother(refusal) => last = refusal,
+                NextStep::Ask => return Outcome::Unknown(Doubt::GuardSilent),
             }
             tried.push(target);
         }
@@ -217,36 +225,36 @@
     }
 
     /// One attempt, and asking about it until it is decided or the time is up.
-    fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
-        let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
+    fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> NextStep {
+        let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
         let Some(leg) = self.home.dispatch(ticket, guard) else {
-            return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
+            return NextStep::Settle(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = order.left();
         let timeout = FIRST_WAIT.min(budget + GRACE);
         let attempt = Attempt { order, work, leg: Some(leg.clone()), connection: Connection::Kept, budget };
         let sent = self.send(target, &attempt, timeout);
         let mut verdict = match sent {
-            Ok(reply) => judge_reply(reply.outcome),
-            Err(silence) => judge_silence(silence),
+            Ok(reply) => step_after_reply(reply.outcome),
+            Err(silence) => step_after_connection_failure(silence),
         };
-        while verdict == Verdict::Ask && !order.left().is_zero() {
+        while verdict == NextStep::Ask && !order.left().is_zero() {
             verdict = match self.revoke(&target.guard, leg.clone(), order.left().min(ASK_WAIT)) {
                 Ok(reply) => {
                     target.guard.answered();
-                    judge_revoke(reply)
+                    step_after_revoke(reply)
                 }
                 Err(_) => {
                     target.guard.failed();
                     thread::sleep(ASK_PAUSE.min(order.left()));
-                    Verdict::Ask
+                    NextStep::Ask
                 }
             };
         }
         verdict
     }
 
-    fn revoke(&self, guard: &Guard, leg: TicketLeg, wait: Duration) -> Result<RevokeReply, Silence> {
+    fn revoke(&self, guard: &Guard, leg: TicketLeg, wait: Duration) -> Result<RevokeReply, ConnectionFailure> {
         metrics::counter!("jayreach_revokes_total").increment(1);
         let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: wait.as_millis() as u64 };
         if self.is_self(guard) {
@@ -268,10 +276,10 @@
             } else {
                 self.peers.call(address, PeerCall::Revoke, &revoke, Connection::Fresh, LEDGER_TIMEOUT)
             };
-            match reply.map(judge_revoke) {
-                Ok(Verdict::Settle(outcome)) => _ = self.home.settle(sequence, outcome),
-                Ok(Verdict::TryAnother(refusal)) => _ = self.home.settle(sequence, Outcome::NotRun(refusal)),
-                Ok(Verdict::Ask) | Err(_) => (),
+            match reply.map(step_after_revoke) {
+                Ok(NextStep::Settle(outcome)) => _ = self.home.settle(sequence, outcome),
+                Ok(NextStep::TryAnother(refusal)) => _ = self.home.settle(sequence, Outcome::NotRun(refusal)),
+                Ok(NextStep::Ask) | Err(_) => (),
             }
         }
     }
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -17,7 +17,7 @@
     },
     rows::{CompareRequest, CompareResponse, DeliverRequest, DeliverResponse, Row, Stamp},
     store::presence_prefix,
-    ticket::Silence,
+    ticket::ConnectionFailure,
     util::lock,
 };
 
@@ -106,7 +106,7 @@
 }
 
 /// Compares tables with a peer and evens them out.
-fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), Silence> {
+fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), ConnectionFailure> {
     let compare = CompareRequest::new(&lock(&daemon.table), daemon.config.version());
     let call = |call, message: &DeliverRequest| {
         daemon.peers.call::<_, DeliverResponse>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -16,7 +16,7 @@
     },
     rows::{CompareRequest, CompareResponse, DaemonId, DeliverRequest, DeliverResponse, PushRequest},
     targets::{Importance, PartRef},
-    ticket::Silence,
+    ticket::ConnectionFailure,
     wire::{
         Dispatch, DispatchReply, Forward, InForce, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
         TicketStatus, decode, encode,
@@ -137,9 +137,9 @@
         message: &Q,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<A, Silence> {
+    ) -> Result<A, ConnectionFailure> {
         let bytes = self.send(address, call, encode(message), 0, connection, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends a dispatch.
@@ -149,10 +149,10 @@
         dispatch: &Dispatch,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<DispatchReply, Silence> {
+    ) -> Result<DispatchReply, ConnectionFailure> {
         let bytes = encode(dispatch);
         let bytes = self.send(address, PeerCall::Dispatch, bytes, dispatch.importance, connection, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends work to its ticket's home.
@@ -161,10 +161,10 @@
         address: SocketAddr,
         forward: &Forward,
         timeout: Duration,
-    ) -> Result<Outcome, Silence> {
+    ) -> Result<Outcome, ConnectionFailure> {
         let bytes = encode(forward);
         let bytes = self.send(address, PeerCall::Forward, bytes, forward.importance, Connection::Fresh, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends a coded message and returns the coded answer.
@@ -176,20 +176,20 @@
         importance: Importance,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<Vec<u8>, Silence> {
+    ) -> Result<Vec<u8>, ConnectionFailure> {
         let req = http::Request::builder()
             .method("POST")
             .uri(format!("http://{address}{}", call.path()))
             .header(PEER_KEY_HEADER, &*self.key)
             .header(IMPORTANCE_HEADER, u16::from(importance))
             .body(body)
-            .map_err(|_| Silence::Refused)?;
+            .map_err(|_| ConnectionFailure::Refused)?;
         let reply = self.client.call(req, connection, timeout)?;
         match reply.status {
             200 => Ok(reply.body),
             // The peer refused before it looked into the message.
-            403 | 503 => Err(Silence::Refused),
-            _ => Err(Silence::Lost),
+            403 | 503 => Err(ConnectionFailure::Refused),
+            _ => Err(ConnectionFailure::Lost),
         }
     }
 }
--- a/src/ticket/ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -7,7 +7,7 @@
 
 /// What the ledger holds of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Entry {
+pub enum DispatchState {
     /// It is running, or waits for a slot.
     Running,
     /// It ended; "not run" stands here as well, so that a late copy of the dispatch is refused.
@@ -21,7 +21,7 @@
     ticket: Ticket,
     /// The highest attempt seen; lower ones are stale.
     attempt: u32,
-    entry: Entry,
+    entry: DispatchState,
 }
 
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
 
 /// What the ledger says to a dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Opening {
+pub enum DispatchDecision {
     /// Run it.
     Run,
     /// A copy of it is running.
@@ -47,37 +47,39 @@
 
 /// The ledger of one guard.
 #[derive(Debug, Clone, Default)]
-pub struct Ledger {
+pub struct DispatchLedger {
     /// Sorted by ticket.
     lines: Vec<Line>,
     /// Sorted by home and incarnation.
     marks: Vec<HomeMark>,
 }
 
-impl Ledger {
+impl DispatchLedger {
     /// Opens a line for a dispatch, or says why it must not run.
-    pub fn open(&mut self, leg: &TicketLeg) -> Opening {
+    pub fn open(&mut self, leg: &TicketLeg) -> DispatchDecision {
         self.hear(&leg.ticket, leg.low_water);
         if leg.ticket.sequence < self.low_water(&leg.ticket) {
-            return Opening::Stale;
+            return DispatchDecision::Stale;
         }
         let at = match self.find(&leg.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: Entry::Running };
+                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: DispatchState::Running };
                 self.lines.insert(at, line);
-                return Opening::Run;
+                return DispatchDecision::Run;
             }
             Ok(at) => at,
         };
         let line = &mut self.lines[at];
         match &line.entry {
-            Entry::Running => Opening::Running,
-            Entry::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => Opening::Ended(it.clone()),
-            Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked if leg.attempt <= line.attempt => Opening::Stale,
-            Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked => {
+            DispatchState::Running => DispatchDecision::Running,
+            DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => DispatchDecision::Ended(it.clone()),
+            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked if leg.attempt <= line.attempt => {
+                DispatchDecision::Stale
+            }
+            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
                 line.attempt = leg.attempt;
-                line.entry = Entry::Running;
-                Opening::Run
+                line.entry = DispatchState::Running;
+                DispatchDecision::Run
             }
         }
     }
@@ -86,8 +88,8 @@
     pub fn finish(&mut self, ticket: &Ticket, outcome: Outcome) {
         let at = self.find(ticket).expect("a line stays while its run is under way");
         let line = &mut self.lines[at];
-        assert_eq!(line.entry, Entry::Running, "a run ends once");
-        line.entry = Entry::Ended(outcome);
+        assert_eq!(line.entry, DispatchState::Running, "a run ends once");
+        line.entry = DispatchState::Ended(outcome);
     }
 
     /// Makes sure that an attempt will not run any more, or says what became of it.
@@ -95,7 +97,7 @@
         self.hear(&leg.ticket, leg.low_water);
         let at = match self.find(&leg.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: Entry::Revoked };
+                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: DispatchState::Revoked };
                 self.lines.insert(at, line);
                 return RevokeReply::Revoked;
             }
@@ -103,11 +105,11 @@
         };
         let line = &mut self.lines[at];
         match &line.entry {
-            Entry::Running => RevokeReply::Running,
-            Entry::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => RevokeReply::Ended(it.clone()),
-            Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked => {
+            DispatchState::Running => RevokeReply::Running,
+            DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => RevokeReply::Ended(it.clone()),
+            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
                 line.attempt = line.attempt.max(leg.attempt);
-                line.entry = Entry::Revoked;
+                line.entry = DispatchState::Revoked;
                 RevokeReply::Revoked
             }
         }
@@ -116,9 +118,11 @@
     /// What is recorded of a ticket; for callers whose home is away.
     pub fn status(&self, ticket: &Ticket) -> TicketStatus {
         match self.find(ticket).ok().map(|at| &self.lines[at].entry) {
-            Some(Entry::Running) => TicketStatus::Running,
-            Some(Entry::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_)))) => TicketStatus::Ended(it.clone()),
-            Some(Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked) | None => TicketStatus::NoRecord,
+            Some(DispatchState::Running) => TicketStatus::Running,
+            Some(DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_)))) => {
+                TicketStatus::Ended(it.clone())
+            }
+            Some(DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked) | None => TicketStatus::NoRecord,
         }
     }
 
@@ -134,7 +138,7 @@
 
     /// How many lines are running.
     pub fn running(&self) -> usize {
-        self.lines.iter().filter(|it| it.entry == Entry::Running).count()
+        self.lines.iter().filter(|it| it.entry == DispatchState::Running).count()
     }
 
     /// Notes a home's low-water sequence and drops the lines below it.
@@ -160,7 +164,7 @@
         let from = self.lines.partition_point(|it| it.ticket < Ticket { sequence: 0, ..ticket.clone() });
         let end = self.lines.partition_point(|it| it.ticket < Ticket { sequence: low_water, ..ticket.clone() });
         let mut running: Vec<_> = self.lines.drain(from..end).collect();
-        running.retain(|it| it.entry == Entry::Running);
+        running.retain(|it| it.entry == DispatchState::Running);
         self.lines.splice(from..from, running);
     }
 
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -15,7 +15,7 @@
 };
 
 /// How long a ticket is answered for after it was issued.
-pub const KEEP_RECORDS: Duration = Duration::from_secs(600);
+pub const RECORD_RETENTION: Duration = Duration::from_secs(600);
 /// How far apart the marks are by which the low-water sequence follows time.
 const MARK_STEP: Duration = Duration::from_secs(1);
 
@@ -49,7 +49,7 @@
 
 /// The guard and endpoint an attempt went to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GuardRef {
+pub struct GuardIncarnation {
     /// The daemon.
     pub daemon: DaemonId,
     /// Its incarnation when the attempt was sent.
@@ -64,14 +64,14 @@
     /// How many dispatches were sent; each has its own number.
     attempts: u32,
     /// Where the last attempt went.
-    guard: Option<GuardRef>,
+    guard: Option<GuardIncarnation>,
     /// Present in the states that have ended.
     outcome: Option<Arc<Outcome>>,
 }
 
 /// What a home says to a request under one of its tickets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginDecision {
     /// Run it; nobody else does.
     Run,
     /// Someone does; wait for the end.
@@ -90,7 +90,7 @@
 
 /// How many records there are, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tally {
+pub struct TicketCounts {
     /// All records.
     pub records: usize,
     /// Those whose run is under way.
@@ -99,7 +99,7 @@
 
 /// The records of one home.
 #[derive(Debug, Clone)]
-pub struct Home {
+pub struct TicketHome {
     daemon: DaemonId,
     incarnation: Incarnation,
     /// The next sequence to issue; all below were issued.
@@ -112,7 +112,7 @@
     records: Vec<Record>,
 }
 
-impl Home {
+impl TicketHome {
     /// A home that has issued nothing.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
         Self { daemon, incarnation, next: 1, low_water: 1, marks: VecDeque::new(), records: Vec::new() }
@@ -135,15 +135,15 @@
     }
 
     /// Begins to run a ticket, or says why not.
-    pub fn begin(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> Begin {
+    pub fn begin(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> BeginDecision {
         if ticket.home != self.daemon || ticket.incarnation != self.incarnation {
-            return Begin::Foreign;
+            return BeginDecision::Foreign;
         }
         if ticket.sequence >= self.next {
-            return Begin::NeverIssued;
+            return BeginDecision::NeverIssued;
         }
         if ticket.sequence < self.low_water {
-            return Begin::Expired;
+            return BeginDecision::Expired;
         }
         let at = match self.find(ticket.sequence) {
             Ok(at) => at,
@@ -154,20 +154,20 @@
         };
         let record = &mut self.records[at];
         if record.fingerprint != fingerprint {
-            return Begin::Mismatch;
+            return BeginDecision::Mismatch;
         }
         if record.on(TicketEvent::Begin) {
             record.outcome = None;
-            return Begin::Run;
+            return BeginDecision::Run;
         }
         match &record.outcome {
-            Some(outcome) => Begin::Ended(Arc::clone(outcome)),
-            None => Begin::Join,
+            Some(outcome) => BeginDecision::Ended(Arc::clone(outcome)),
+            None => BeginDecision::Join,
         }
     }
 
     /// Notes that the running ticket is about to be sent to `guard`; returns the attempt's number.
-    pub fn dispatch(&mut self, sequence: Sequence, guard: GuardRef) -> Option<u32> {
+    pub fn dispatch(&mut self, sequence: Sequence, guard: GuardIncarnation) -> Option<u32> {
         let record = self.record(sequence)?;
         assert_eq!(record.state, TicketState::Running, "only a running ticket is sent");
         record.attempts += 1;
@@ -208,7 +208,7 @@
     }
 
     /// The unknown tickets that may still be cleared up, with their last attempt.
-    pub fn unresolved(&self) -> Vec<(Sequence, u32, GuardRef)> {
+    pub fn unresolved(&self) -> Vec<(Sequence, u32, GuardIncarnation)> {
         let unknown = self.records.iter().filter(|it| it.state == TicketState::Unknown);
         let resolvable = unknown.filter(|it| !it.final_doubt());
         resolvable.filter_map(|it| Some((it.sequence, it.attempts, it.guard.clone()?))).collect()
@@ -220,7 +220,7 @@
     pub fn expire(&mut self, now: Instant) {
         let mut low = self.low_water;
         while let Some((_, until)) =
-            self.marks.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= KEEP_RECORDS)
+            self.marks.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= RECORD_RETENTION)
         {
             low = *until;
             self.marks.pop_front();
@@ -233,9 +233,9 @@
     }
 
     /// How many records there are.
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> TicketCounts {
         let running = self.records.iter().filter(|it| it.state == TicketState::Running).count();
-        Tally { records: self.records.len(), running }
+        TicketCounts { records: self.records.len(), running }
     }
 
     fn issued(&self, ticket: &Ticket) -> bool {
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -3,10 +3,10 @@
 //! The home is named in the ticket, so no two daemons can hold themselves to be the one that
 //! decides. See docs/DESIGN.md, tickets.
 
+mod dispatch_ledger;
 mod home;
-mod judge;
-mod ledger;
+mod next_step;
 
-pub use home::{Begin, GuardRef, Home, KEEP_RECORDS, Tally, TicketState};
-pub use judge::{Silence, Verdict, judge_reply, judge_revoke, judge_silence};
-pub use ledger::{Entry, Ledger, Opening};
+pub use dispatch_ledger::{DispatchDecision, DispatchLedger, DispatchState};
+pub use home::{BeginDecision, GuardIncarnation, RECORD_RETENTION, TicketCounts, TicketHome, TicketState};
+pub use next_step::{ConnectionFailure, NextStep, step_after_connection_failure, step_after_reply, step_after_revoke};
--- a/src/ticket/judge.rs
+++ b/src/ticket/next_step.rs
@@ -4,7 +4,7 @@
 
 /// What the home does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum NextStep {
     /// The run has ended like this.
     Settle(Outcome),
     /// The attempt did not run and will not: another guard may be tried.
@@ -15,7 +15,7 @@
 
 /// How a call to a guard went wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Silence {
+pub enum ConnectionFailure {
     /// The connection was refused: the guard never saw the call.
     Refused,
     /// This daemon has no port left for a connection; nothing was sent.
@@ -25,29 +25,29 @@
 }
 
 /// Judges a guard's answer to a dispatch.
-pub fn judge_reply(outcome: Outcome) -> Verdict {
+pub fn step_after_reply(outcome: Outcome) -> NextStep {
     match outcome {
-        Outcome::NotRun(refusal) => Verdict::TryAnother(refusal),
-        Outcome::Unknown(Doubt::StillRunning) => Verdict::Ask,
-        Outcome::Done(_) | Outcome::Unknown(_) => Verdict::Settle(outcome),
+        Outcome::NotRun(refusal) => NextStep::TryAnother(refusal),
+        Outcome::Unknown(Doubt::StillRunning) => NextStep::Ask,
+        Outcome::Done(_) | Outcome::Unknown(_) => NextStep::Settle(outcome),
     }
 }
 
 /// Judges the lack of an answer to a dispatch. Only a refused connection proves anything.
-pub fn judge_silence(silence: Silence) -> Verdict {
+pub fn step_after_connection_failure(silence: ConnectionFailure) -> NextStep {
     match silence {
-        Silence::Refused => Verdict::TryAnother(Refusal::GuardUnreachable),
-        Silence::NoLocalPort => Verdict::TryAnother(Refusal::Overloaded),
-        Silence::Lost => Verdict::Ask,
+        ConnectionFailure::Refused => NextStep::TryAnother(Refusal::GuardUnreachable),
+        ConnectionFailure::NoLocalPort => NextStep::TryAnother(Refusal::Overloaded),
+        ConnectionFailure::Lost => NextStep::Ask,
     }
 }
 
 /// Judges a guard's answer to a revoke.
-pub fn judge_revoke(reply: RevokeReply) -> Verdict {
+pub fn step_after_revoke(reply: RevokeReply) -> NextStep {
     match reply {
-        RevokeReply::Ended(outcome) => Verdict::Settle(outcome),
-        RevokeReply::Running => Verdict::Ask,
-        RevokeReply::Revoked => Verdict::TryAnother(Refusal::Revoked),
-        RevokeReply::NoMemory => Verdict::Settle(Outcome::Unknown(Doubt::GuardForgot)),
+        RevokeReply::Ended(outcome) => NextStep::Settle(outcome),
+        RevokeReply::Running => NextStep::Ask,
+        RevokeReply::Revoked => NextStep::TryAnother(Refusal::Revoked),
+        RevokeReply::NoMemory => NextStep::Settle(Outcome::Unknown(Doubt::GuardForgot)),
     }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -16,7 +16,7 @@
     targets::{
         Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
     },
-    ticket::{GuardRef, Home, Ledger},
+    ticket::{DispatchLedger, GuardIncarnation, TicketHome},
     wire::{Answer, Outcome, TicketLeg, encode},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -313,13 +313,13 @@
         Outcome::Done(Answer { status: 200, headers: ["a", "b", "c"].map(header).to_vec(), body: vec![7; 200] })
     };
     let before = resident();
-    let mut home = Home::new("vm-1".into(), 1);
+    let mut home = TicketHome::new("vm-1".into(), 1);
     let start = Instant::now();
     let mut legs = Vec::new();
     for _ in 0..COUNT {
         let ticket = home.issue(start);
         home.begin(&ticket, ticket.sequence);
-        let guard = GuardRef { daemon: "vm-2".into(), incarnation: 1 };
+        let guard = GuardIncarnation { daemon: "vm-2".into(), incarnation: 1 };
         let attempt = home.dispatch(ticket.sequence, guard).expect("a record");
         home.settle(ticket.sequence, answer());
         legs.push(TicketLeg { ticket, attempt, low_water: 1 });
@@ -328,7 +328,7 @@
     println!("home: {:.0} bytes and {each:.0} ns a record", (resident() - before) / COUNT as f64);
     let before = resident();
     let start = Instant::now();
-    let mut ledger = Ledger::default();
+    let mut ledger = DispatchLedger::default();
     for leg in &legs {
         ledger.open(leg);
         ledger.finish(&leg.ticket, answer());
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -9,8 +9,8 @@
 
 use jayreach::{
     ticket::{
-        Begin, GuardRef, Home, KEEP_RECORDS, Ledger, Opening, Silence, Verdict, judge_reply, judge_revoke,
-        judge_silence,
+        BeginDecision, ConnectionFailure, DispatchDecision, DispatchLedger, GuardIncarnation, NextStep,
+        RECORD_RETENTION, TicketHome, step_after_connection_failure, step_after_reply, step_after_revoke,
     },
     wire::{Answer, Doubt, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketLeg},
 };
@@ -75,14 +75,14 @@
 
 struct GuardModel {
     incarnation: u64,
-    ledger: Ledger,
+    ledger: DispatchLedger,
     running: Vec<TicketLeg>,
 }
 
 struct World {
     without: Without,
     now: Instant,
-    home: Home,
+    home: TicketHome,
     home_incarnation: u64,
     tickets: Vec<Ticket>,
     runs: Vec<Option<Run>>,
@@ -121,7 +121,7 @@
         let mut world = Self {
             without,
             now: Instant::now(),
-            home: Home::new("home".into(), 1),
+            home: TicketHome::new("home".into(), 1),
             home_incarnation: 1,
             tickets: Vec::new(),
             runs: vec![None; TICKETS],
@@ -164,12 +164,12 @@
             }
             Action::RestartHome => {
                 self.home_incarnation += 1;
-                self.home = Home::new("home".into(), self.home_incarnation);
+                self.home = TicketHome::new("home".into(), self.home_incarnation);
                 self.issue();
                 Ok(())
             }
             Action::TimePasses => {
-                self.now += KEEP_RECORDS.mul_f64(0.6);
+                self.now += RECORD_RETENTION.mul_f64(0.6);
                 self.home.expire(self.now);
                 // Marks follow time only while tickets are issued.
                 self.home.issue(self.now);
@@ -180,7 +180,7 @@
 
     fn ask(&mut self, at: usize) -> Result<(), String> {
         let ticket = self.tickets[at].clone();
-        if self.home.begin(&ticket, 7) == Begin::Run {
+        if self.home.begin(&ticket, 7) == BeginDecision::Run {
             self.not_run.retain(|it| *it != ticket);
             self.attempt(at, &ticket, at % GUARDS);
         }
@@ -189,7 +189,7 @@
 
     fn attempt(&mut self, at: usize, ticket: &Ticket, guard: usize) {
         let incarnation = self.guards[guard].incarnation;
-        let guard_ref = GuardRef { daemon: guard.to_string().into(), incarnation };
+        let guard_ref = GuardIncarnation { daemon: guard.to_string().into(), incarnation };
         let attempt = self.home.dispatch(ticket.sequence, guard_ref).expect("a running ticket has a record");
         let leg = TicketLeg { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
         self.runs[at] = Some(Run { leg: leg.clone(), guard, incarnation });
@@ -221,8 +221,8 @@
                 self.network.push(Message::Revoked { leg, reply });
                 Ok(())
             }
-            Some(Message::Reply { leg, outcome }) => self.conclude(&leg, judge_reply(outcome)),
-            Some(Message::Revoked { leg, reply }) => self.conclude(&leg, judge_revoke(reply)),
+            Some(Message::Reply { leg, outcome }) => self.conclude(&leg, step_after_reply(outcome)),
+            Some(Message::Revoked { leg, reply }) => self.conclude(&leg, step_after_revoke(reply)),
         }
     }
 
@@ -233,13 +233,13 @@
             return Some(Outcome::NotRun(Refusal::StaleDispatch));
         }
         match it.ledger.open(leg) {
-            Opening::Run => {
+            DispatchDecision::Run => {
                 it.running.push(leg.clone());
                 None
             }
-            Opening::Running => Some(Outcome::Unknown(Doubt::StillRunning)),
-            Opening::Ended(outcome) => Some(outcome),
-            Opening::Stale => Some(Outcome::NotRun(Refusal::StaleDispatch)),
+            DispatchDecision::Running => Some(Outcome::Unknown(Doubt::StillRunning)),
+            DispatchDecision::Ended(outcome) => Some(outcome),
+            DispatchDecision::Stale => Some(Outcome::NotRun(Refusal::StaleDispatch)),
         }
     }
 
@@ -285,18 +285,18 @@
     }
 
     /// The home concludes from an answer; one to an older attempt is nobody's any more.
-    fn conclude(&mut self, leg: &TicketLeg, verdict: Verdict) -> Result<(), String> {
+    fn conclude(&mut self, leg: &TicketLeg, verdict: NextStep) -> Result<(), String> {
         let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.leg == *leg);
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
         let run = self.runs[at].take().expect("the position has a run");
         match verdict {
-            Verdict::Settle(outcome) => self.settle(leg.ticket.sequence, outcome),
-            Verdict::TryAnother(_) if leg.attempt < 3 => {
+            NextStep::Settle(outcome) => self.settle(leg.ticket.sequence, outcome),
+            NextStep::TryAnother(_) if leg.attempt < 3 => {
                 self.attempt(at, &leg.ticket, (run.guard + 1) % GUARDS);
                 Ok(())
             }
-            Verdict::TryAnother(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
-            Verdict::Ask => {
+            NextStep::TryAnother(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
+            NextStep::Ask => {
                 self.ask_guard(&run);
                 self.runs[at] = Some(run);
                 Ok(())
@@ -312,9 +312,9 @@
     fn silence(&mut self, at: usize) -> Result<(), String> {
         let Some(run) = self.runs[at].clone() else { return Ok(()) };
         if self.without == Without::AskingBeforeAnotherGuard {
-            return self.conclude(&run.leg, Verdict::TryAnother(Refusal::GuardUnreachable));
+            return self.conclude(&run.leg, NextStep::TryAnother(Refusal::GuardUnreachable));
         }
-        self.conclude(&run.leg, judge_silence(Silence::Lost))
+        self.conclude(&run.leg, step_after_connection_failure(ConnectionFailure::Lost))
     }
 
     fn resolve(&mut self) -> Result<(), String> {
@@ -322,10 +322,10 @@
             let ticket = Ticket { home: "home".into(), incarnation: self.home_incarnation, sequence };
             let leg = TicketLeg { ticket, attempt, low_water: self.home.low_water() };
             let at: usize = guard.daemon.parse().expect("guards are numbered");
-            match judge_revoke(self.revoke(at, guard.incarnation, &leg)) {
-                Verdict::Settle(outcome) => self.settle(sequence, outcome)?,
-                Verdict::TryAnother(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
-                Verdict::Ask => (),
+            match step_after_revoke(self.revoke(at, guard.incarnation, &leg)) {
+                NextStep::Settle(outcome) => self.settle(sequence, outcome)?,
+                NextStep::TryAnother(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
+                NextStep::Ask => (),
             }
         }
         Ok(())
@@ -360,7 +360,7 @@
 
 impl GuardModel {
     fn new(incarnation: u64) -> Self {
-        Self { incarnation, ledger: Ledger::default(), running: Vec::new() }
+        Self { incarnation, ledger: DispatchLedger::default(), running: Vec::new() }
     }
 }
 
@@ -403,9 +403,9 @@
 #[test]
 fn a_record_expires_and_its_ticket_never_runs_again() {
     let start = Instant::now();
-    let mut home = Home::new("home".into(), 1);
+    let mut home = TicketHome::new("home".into(), 1);
     let ticket = home.issue(start);
-    assert_eq!(home.begin(&ticket, 7), Begin::Run);
+    assert_eq!(home.begin(&ticket, 7), BeginDecision::Run);
     home.settle(ticket.sequence, done());
 
     for minute in 1..=12 {
@@ -413,7 +413,7 @@
     }
     home.expire(start + Duration::from_secs(60 * 12));
 
-    assert_eq!(home.begin(&ticket, 7), Begin::Expired);
+    assert_eq!(home.begin(&ticket, 7), BeginDecision::Expired);
     assert_eq!(home.tally().records, 0);
 }
 
@@ -421,13 +421,13 @@
 fn a_late_dispatch_is_refused_after_its_tombstone_was_dropped() {
     let ticket = |sequence| Ticket { home: "home".into(), incarnation: 1, sequence };
     let leg = |sequence, low_water| TicketLeg { ticket: ticket(sequence), attempt: 1, low_water };
-    let mut ledger = Ledger::default();
+    let mut ledger = DispatchLedger::default();
     assert_eq!(ledger.revoke(&leg(5, 1)), RevokeReply::Revoked);
 
     let opened = ledger.open(&leg(9, 8));
     let late = ledger.open(&leg(5, 1));
 
-    assert_eq!(opened, Opening::Run);
-    assert_eq!(late, Opening::Stale);
+    assert_eq!(opened, DispatchDecision::Run);
+    assert_eq!(late, DispatchDecision::Stale);
     assert_eq!(ledger.len(), 1, "only the running one is left");
 }
