--- a/src/daemon/desk.rs
+++ b/src/daemon/desk.rs
@@ -37,7 +37,7 @@
         loop {
             let begin = home.begin(ticket, fingerprint);
             let left = deadline.saturating_duration_since(Instant::now());
-            if begin != BeginDecision::Join {
+            if begin != BeginDecision::AlreadyRunning {
                 return begin;
             }
             if left.is_zero() {
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -190,7 +190,7 @@
         };
         match lock(&self.inner).ledger.open(leg) {
             DispatchDecision::Run => (),
-            DispatchDecision::Running => return Outcome::Unknown(Doubt::StillRunning),
+            DispatchDecision::AlreadyRunning => return Outcome::Unknown(Doubt::StillRunning),
             DispatchDecision::Ended(outcome) => return outcome,
             DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
@@ -338,7 +338,7 @@
             service: self.service.clone(),
             slots: self.slots,
             state: self.standing.state(),
-            failures: failure_level(self.standing.failure_rate()),
+            failure_level: failure_level(self.standing.failure_rate()),
         }
     }
 
@@ -373,5 +373,5 @@
 
 /// Whether the fleet must hear of a change at once; load alone rides on answers.
 fn tells_more(before: &EndpointRow, after: &EndpointRow) -> bool {
-    before.state != after.state || before.failures.abs_diff(after.failures) >= 2
+    before.state != after.state || before.failure_level.abs_diff(after.failure_level) >= 2
 }
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -192,11 +192,11 @@
                 Outcome::clone(&self.home.settle(forward.ticket.sequence, outcome))
             }
             BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
-            BeginDecision::Join => Outcome::Unknown(Doubt::StillRunning),
+            BeginDecision::AlreadyRunning => Outcome::Unknown(Doubt::StillRunning),
             BeginDecision::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
             BeginDecision::Expired => Outcome::Unknown(Doubt::TicketExpired),
             BeginDecision::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
-            BeginDecision::Foreign => self.ask_ledgers(order, &forward.ticket),
+            BeginDecision::IssuedElsewhere => self.ask_ledgers(order, &forward.ticket),
         }
     }
 
@@ -215,9 +215,9 @@
                 Err(_) => break,
             };
             match self.run_attempt(order, ticket, work, &target) {
-                NextStep::Settle(outcome) => return outcome,
-                NextStep::TryAnother(refusal) => last = refusal,
-                NextStep::Ask => return Outcome::Unknown(Doubt::GuardSilent),
+                NextStep::Finish(outcome) => return outcome,
+                NextStep::TryAnotherGuard(refusal) => last = refusal,
+                NextStep::QueryAttempt => return Outcome::Unknown(Doubt::GuardSilent),
             }
             tried.push(target);
         }
@@ -228,7 +228,7 @@
     fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> NextStep {
         let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
         let Some(leg) = self.home.dispatch(ticket, guard) else {
-            return NextStep::Settle(Outcome::NotRun(Refusal::TooLate));
+            return NextStep::Finish(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = order.left();
         let timeout = FIRST_WAIT.min(budget + GRACE);
@@ -238,7 +238,7 @@
             Ok(reply) => step_after_reply(reply.outcome),
             Err(silence) => step_after_connection_failure(silence),
         };
-        while verdict == NextStep::Ask && !order.left().is_zero() {
+        while verdict == NextStep::QueryAttempt && !order.left().is_zero() {
             verdict = match self.revoke(&target.guard, leg.clone(), order.left().min(ASK_WAIT)) {
                 Ok(reply) => {
                     target.guard.answered();
@@ -247,7 +247,7 @@
                 Err(_) => {
                     target.guard.failed();
                     thread::sleep(ASK_PAUSE.min(order.left()));
-                    NextStep::Ask
+                    NextStep::QueryAttempt
                 }
             };
         }
@@ -277,9 +277,9 @@
                 self.peers.call(address, PeerCall::Revoke, &revoke, Connection::Fresh, LEDGER_TIMEOUT)
             };
             match reply.map(step_after_revoke) {
-                Ok(NextStep::Settle(outcome)) => _ = self.home.settle(sequence, outcome),
-                Ok(NextStep::TryAnother(refusal)) => _ = self.home.settle(sequence, Outcome::NotRun(refusal)),
-                Ok(NextStep::Ask) | Err(_) => (),
+                Ok(NextStep::Finish(outcome)) => _ = self.home.settle(sequence, outcome),
+                Ok(NextStep::TryAnotherGuard(refusal)) => _ = self.home.settle(sequence, Outcome::NotRun(refusal)),
+                Ok(NextStep::QueryAttempt) | Err(_) => (),
             }
         }
     }
--- a/src/daemon/local.rs
+++ b/src/daemon/local.rs
@@ -133,9 +133,9 @@
     let mut count = InForceCount { daemons: peers.len() + 1, in_force: 0, behind: Vec::new(), silent: Vec::new() };
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
-        let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
+        let answer = daemon.peers.call(row.peer_address, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
         let has = answer.ok().map(|it: InForce| it.version);
-        count.add(&row.daemon, has, version);
+        count.add(&row.name, has, version);
     }
     respond_json(req, 200, &count);
 }
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -67,7 +67,7 @@
     let live = table.live().choose(&mut rng);
     let down = table.down().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
     match down.or(live) {
-        Some(it) => Partner::Known { daemon: it.daemon.clone(), address: it.peers, stamp: it.stamp },
+        Some(it) => Partner::Known { daemon: it.name.clone(), address: it.peer_address, stamp: it.stamp },
         None => Partner::Nobody,
     }
 }
@@ -96,7 +96,7 @@
 fn helpers_reach(daemon: &Daemon, address: SocketAddr) -> bool {
     let helpers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peers).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
+        table.live().map(|it| it.peer_address).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
     };
     helpers.iter().any(|helper| {
         let probe = Probe { address };
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -221,10 +221,10 @@
         let incarnation = incarnation();
         let client = Arc::new(Client::new());
         let row = Row {
-            daemon: settings.name.clone(),
+            name: settings.name.clone(),
             stamp: Stamp { incarnation, sequence: 1, down: false },
             data_centre: settings.data_centre.clone(),
-            peers: settings.peers,
+            peer_address: settings.peers,
             leaving: false,
             endpoints: Vec::new(),
         };
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -292,5 +292,5 @@
 /// A daemon's address in the table.
 pub(crate) fn address_of(daemon: &Daemon, id: &DaemonId) -> Option<SocketAddr> {
     let table = crate::util::lock(&daemon.table);
-    table.get(id).map(|it| it.peers)
+    table.get(id).map(|it| it.peer_address)
 }
--- a/src/daemon/spread.rs
+++ b/src/daemon/spread.rs
@@ -53,8 +53,8 @@
 
 /// Keeps the newest of each daemon's rows.
 fn newest(mut rows: Vec<Row>) -> Vec<Row> {
-    rows.sort_by(|a, b| (&a.daemon, b.stamp).cmp(&(&b.daemon, a.stamp)));
-    rows.dedup_by(|a, b| a.daemon == b.daemon);
+    rows.sort_by(|a, b| (&a.name, b.stamp).cmp(&(&b.name, a.stamp)));
+    rows.dedup_by(|a, b| a.name == b.name);
     rows
 }
 
@@ -62,7 +62,7 @@
     let fanout = if rows.is_empty() { VERSION_FANOUT } else { ROWS_FANOUT };
     let peers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peers).sample(&mut rand::rng(), fanout)
+        table.live().map(|it| it.peer_address).sample(&mut rand::rng(), fanout)
     };
     let push = PushRequest { rows, version: daemon.config.version(), sender: daemon.settings.peers };
     let bytes = Arc::new(encode(&push));
--- a/src/daemon/view.rs
+++ b/src/daemon/view.rs
@@ -159,7 +159,7 @@
     /// Takes a row in; `directory` gives the floors.
     pub(crate) fn apply(&self, row: &Row, directory: Option<&ConfigIndex>) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
-        let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.daemon));
+        let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.name));
         let known = found.ok().map(|at| inner.guards.remove(at));
         let guard = self.guard(row, known.as_ref());
         let gone = row.stamp.down || row.leaving;
@@ -189,13 +189,14 @@
 
     /// The path's health outlives a row, but not an incarnation.
     fn guard(&self, row: &Row, known: Option<&Known>) -> Arc<Guard> {
-        let same = known.filter(|it| it.guard.incarnation == row.stamp.incarnation && it.guard.peers == row.peers);
+        let same =
+            known.filter(|it| it.guard.incarnation == row.stamp.incarnation && it.guard.peers == row.peer_address);
         match same {
             Some(it) => Arc::clone(&it.guard),
             None => Arc::new(Guard {
-                daemon: row.daemon.clone(),
+                daemon: row.name.clone(),
                 incarnation: row.stamp.incarnation,
-                peers: row.peers,
+                peers: row.peer_address,
                 near: row.data_centre == self.data_centre,
                 path: Mutex::default(),
             }),
@@ -233,7 +234,7 @@
     pub(crate) fn baseline(&self, service: &str, except: &str) -> f64 {
         let Some(service) = self.service(service) else { return 0.0 };
         let others = service.targets.iter().filter(|it| *it.row.id != *except);
-        let mut levels: Vec<u8> = others.map(|it| it.row.failures).collect();
+        let mut levels: Vec<u8> = others.map(|it| it.row.failure_level).collect();
         median_failure_rate(&mut levels)
     }
 
@@ -297,7 +298,11 @@
         let floor = directory.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR, |it| it.floor_percent);
         let standings: Vec<_> = targets
             .iter()
-            .map(|it| EndpointCapacity { slots: it.row.slots, state: it.row.state, failure_level: it.row.failures })
+            .map(|it| EndpointCapacity {
+                slots: it.row.slots,
+                state: it.row.state,
+                failure_level: it.row.failure_level,
+            })
             .collect();
         let eligible = eligible_endpoints(&standings, floor);
         Self { name, targets, eligible }
--- a/src/daemon/watcher.rs
+++ b/src/daemon/watcher.rs
@@ -91,7 +91,7 @@
     let own = rank(&daemon.settings.name);
     let table = lock(&daemon.table);
     let near = table.live().filter(|it| it.data_centre == daemon.settings.data_centre && !it.leaving);
-    near.filter(|it| rank(&it.daemon) < own).count() < WATCHERS
+    near.filter(|it| rank(&it.name) < own).count() < WATCHERS
 }
 
 fn adopt_from_store(daemon: &Arc<Daemon>, root: Vec<u8>) -> bool {
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -130,8 +130,7 @@
     fn status(&self) -> Vec<u8> {
         let (running, waiting) = self.guard.load();
         let directory = self.directory.borrow();
-        let peers: Vec<_> =
-            directory.members().map(|it| row_status(it.1, self.link(&it.1.daemon).as_deref())).collect();
+        let peers: Vec<_> = directory.members().map(|it| row_status(it.1, self.link(&it.1.name).as_deref())).collect();
         let mut row = row_status(directory.own(), None);
         row["version"] = self.version().into();
         if let Some(it) = self.guard.serving_endpoint() {
@@ -183,9 +182,9 @@
 /// Returns a proxy's directory entry as JSON, with the state of the link to that proxy.
 fn row_status(row: &Row, link: Option<&Link>) -> serde_json::Value {
     let mut status = serde_json::json!({
-        "name": row.daemon,
+        "name": row.name,
         "data_centre": row.data_centre,
-        "peers": row.peers,
+        "peers": row.peer_address,
         "service": row.endpoints.service,
         "endpoint": row.endpoints.endpoint,
         "linked": link.is_some_and(Link::is_connected),
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -166,10 +166,10 @@
     /// Takes in where proxies are, as the store lists it; whatever they said themselves is newer.
     pub fn seed_from_store(&mut self, listed: impl Iterator<Item = PresenceObject>, now: Instant) {
         let rows = listed.map(|it| Row {
-            daemon: it.name,
+            name: it.name,
             stamp: Stamp { incarnation: 0, sequence: 0, down: false },
             data_centre: it.data_centre,
-            peers: it.peers,
+            peer_address: it.peers,
             leaving: false,
             endpoints: GuardedService { service: it.service, endpoint: None },
         });
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -108,11 +108,11 @@
         }
         metrics::counter!("jayreach_rows_taken_total").increment(news.len() as u64);
         for row in news {
-            if row.daemon == self.name {
+            if row.name == self.name {
                 self.request_hello_to_all();
-            } else if let Some(link) = self.link(&row.daemon) {
+            } else if let Some(link) = self.link(&row.name) {
                 self.events.emit(&Event::Row {
-                    peer: &row.daemon,
+                    peer: &row.name,
                     sequence: row.stamp.sequence,
                     endpoint: row.endpoints.endpoint.as_ref().map(|it| &*it.id.name),
                     service: Some(&row.endpoints.service),
@@ -143,7 +143,7 @@
 
     fn take_welcome(self: &Rc<Self>, link: &Rc<Link>, welcome: HelloResponse) {
         let HelloResponse { row, status, newer_caller_row } = welcome;
-        let (name, stamp) = (row.daemon.clone(), row.stamp);
+        let (name, stamp) = (row.name.clone(), row.stamp);
         self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
         self.take_current(&name, link, stamp, status);
     }
@@ -151,7 +151,7 @@
     /// Answers a peer's hello, and links back to one that chose this proxy.
     pub(super) fn answer_hello(self: &Rc<Self>, hello: Hello) -> HelloResponse {
         let Hello { row, status, selected } = hello;
-        let (name, stamp) = (row.daemon.clone(), row.stamp);
+        let (name, stamp) = (row.name.clone(), row.stamp);
         if selected {
             self.ensure_link(&row).selected_by_peer.set(true);
         }
--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -116,7 +116,7 @@
             self.ensure_link(row).selected.set(true);
         }
         for (name, link) in self.links.borrow().iter() {
-            let stays = chosen.binary_search_by(|it| it.daemon.cmp(name)).is_ok();
+            let stays = chosen.binary_search_by(|it| it.name.cmp(name)).is_ok();
             if link.selected.get() && !stays {
                 link.selected.set(false);
                 link.request_hello();
@@ -141,21 +141,21 @@
                 key: *key,
                 service: &row.endpoints.service,
                 same_data_centre: row.data_centre == own.data_centre,
-                reachable: self.link(&row.daemon).is_none_or(|it| it.is_reachable(now)),
+                reachable: self.link(&row.name).is_none_or(|it| it.is_reachable(now)),
             })
             .collect();
         let chosen = subset::choose_peers(directory.own_key(), &members);
         let mut chosen: Vec<Arc<Row>> = chosen.into_iter().map(|at| Arc::clone(rows[at].1)).collect();
-        chosen.sort_unstable_by(|a, b| a.daemon.cmp(&b.daemon));
+        chosen.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         chosen
     }
 
     /// The link to a row's owner, opened if there is none; one that moved is linked anew.
     pub(super) fn ensure_link(self: &Rc<Self>, row: &Row) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
-        let found = links.binary_search_by(|it| it.0.cmp(&row.daemon));
+        let found = links.binary_search_by(|it| it.0.cmp(&row.name));
         if let Ok(at) = found
-            && links[at].1.address == row.peers
+            && links[at].1.address == row.peer_address
         {
             return Rc::clone(&links[at].1);
         }
@@ -163,10 +163,10 @@
         let link = Rc::new(Link::new(row, near));
         match found {
             Ok(at) => links[at].1 = Rc::clone(&link),
-            Err(at) => links.insert(at, (row.daemon.clone(), Rc::clone(&link))),
+            Err(at) => links.insert(at, (row.name.clone(), Rc::clone(&link))),
         }
         drop(links);
-        spawn_local(Rc::clone(self).keep_link(row.daemon.clone(), Rc::clone(&link)));
+        spawn_local(Rc::clone(self).keep_link(row.name.clone(), Rc::clone(&link)));
         link
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -239,10 +239,10 @@
 /// Directory entry of a proxy that has just started.
 fn initial_row(settings: &Settings) -> Row {
     Row {
-        daemon: settings.name.clone(),
+        name: settings.name.clone(),
         stamp: Stamp { incarnation: clock::unix_millis(), sequence: 1, down: false },
         data_centre: settings.data_centre.clone(),
-        peers: settings.advertised,
+        peer_address: settings.advertised,
         leaving: false,
         endpoints: GuardedService { service: settings.service.clone(), endpoint: None },
     }
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -121,8 +121,8 @@
     /// A link that is not connected yet.
     pub(super) fn new(row: &Row, same_data_centre: bool) -> Self {
         Self {
-            address: row.peers,
-            key: member_key(&row.daemon),
+            address: row.peer_address,
+            key: member_key(&row.name),
             same_data_centre,
             selected: Cell::new(false),
             selected_by_peer: Cell::new(false),
--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -119,7 +119,7 @@
         if let Some(it) = link {
             return it.call(path::ASK, &relay.ask).await;
         }
-        let row = self.directory.borrow().members().find(|it| it.1.peers == relay.to).map(|it| Arc::clone(it.1));
+        let row = self.directory.borrow().members().find(|it| it.1.peer_address == relay.to).map(|it| Arc::clone(it.1));
         let Some(row) = row else { return Err(LinkError::NotConnected) };
         let (link, _connected) = Link::open(&row).await?;
         link.call(path::ASK, &relay.ask).await
--- a/src/rows/row.rs
+++ b/src/rows/row.rs
@@ -43,7 +43,8 @@
     /// What it can be given.
     pub state: EndpointState,
     /// Its recent failure rate as a power of two: 0 for none, n for about 2^(n-11).
-    pub failures: u8,
+    #[serde(rename = "failures")]
+    pub failure_level: u8,
 }
 
 /// Orders the states of one row; the higher one is newer.
@@ -61,13 +62,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row<E = Vec<EndpointRow>> {
     /// The owner.
-    pub daemon: DaemonId,
+    #[serde(rename = "daemon")]
+    pub name: DaemonId,
     /// Orders this row among the owner's others.
     pub stamp: Stamp,
     /// Where the owner stands.
     pub data_centre: Box<str>,
     /// Where its peers reach it.
-    pub peers: SocketAddr,
+    #[serde(rename = "peers")]
+    pub peer_address: SocketAddr,
     /// Whether it is shutting down.
     pub leaving: bool,
     /// Its endpoints; where there may be several, sorted by id.
--- a/src/rows/table.rs
+++ b/src/rows/table.rs
@@ -75,7 +75,7 @@
 impl<E: Clone> MemberTable<E> {
     /// A table that holds the owner's row only.
     pub fn new(own: Row<E>, claims: HigherIncarnationPolicy, now: Instant) -> Self {
-        let key = member_key(&own.daemon);
+        let key = member_key(&own.name);
         let mut table = Self { own: key, claims, entries: Vec::new(), buckets: vec![0; BUCKETS] };
         table.store(key, Arc::new(own), now);
         table
@@ -106,7 +106,7 @@
     /// An unknown row that is down is not taken in: it would come back for ever, since each
     /// daemon forgets it at another time.
     pub fn merge(&mut self, row: Row<E>, now: Instant) -> MergeResult {
-        let key = member_key(&row.daemon);
+        let key = member_key(&row.name);
         let known = self.find(key).map(|at| &self.entries[at].row);
         if known.is_none() && row.stamp.down {
             return MergeResult::Ignored;
--- a/src/ticket/dispatch_ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -38,7 +38,7 @@
     /// Run it.
     Run,
     /// A copy of it is running.
-    Running,
+    AlreadyRunning,
     /// It ended like this.
     Ended(Outcome),
     /// It is stale, and has not run by this dispatch.
@@ -71,7 +71,7 @@
         };
         let line = &mut self.lines[at];
         match &line.entry {
-            DispatchState::Running => DispatchDecision::Running,
+            DispatchState::Running => DispatchDecision::AlreadyRunning,
             DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => DispatchDecision::Ended(it.clone()),
             DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked if leg.attempt <= line.attempt => {
                 DispatchDecision::Stale
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -75,7 +75,7 @@
     /// Run it; nobody else does.
     Run,
     /// Someone does; wait for the end.
-    Join,
+    AlreadyRunning,
     /// It has ended like this.
     Ended(Arc<Outcome>),
     /// The ticket was used for another request.
@@ -83,7 +83,7 @@
     /// The record is gone; never run.
     Expired,
     /// Another incarnation issued it; never run here.
-    Foreign,
+    IssuedElsewhere,
     /// Nobody issued it; never run.
     NeverIssued,
 }
@@ -137,7 +137,7 @@
     /// Begins to run a ticket, or says why not.
     pub fn begin(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> BeginDecision {
         if ticket.home != self.daemon || ticket.incarnation != self.incarnation {
-            return BeginDecision::Foreign;
+            return BeginDecision::IssuedElsewhere;
         }
         if ticket.sequence >= self.next {
             return BeginDecision::NeverIssued;
@@ -162,7 +162,7 @@
         }
         match &record.outcome {
             Some(outcome) => BeginDecision::Ended(Arc::clone(outcome)),
-            None => BeginDecision::Join,
+            None => BeginDecision::AlreadyRunning,
         }
     }
 
--- a/src/ticket/next_step.rs
+++ b/src/ticket/next_step.rs
@@ -6,11 +6,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
     /// The run has ended like this.
-    Settle(Outcome),
+    Finish(Outcome),
     /// The attempt did not run and will not: another guard may be tried.
-    TryAnother(Refusal),
+    TryAnotherGuard(Refusal),
     /// Ask the same guard what became of the attempt.
-    Ask,
+    QueryAttempt,
 }
 
 /// How a call to a guard went wrong.
@@ -27,27 +27,27 @@
 /// Judges a guard's answer to a dispatch.
 pub fn step_after_reply(outcome: Outcome) -> NextStep {
     match outcome {
-        Outcome::NotRun(refusal) => NextStep::TryAnother(refusal),
-        Outcome::Unknown(Doubt::StillRunning) => NextStep::Ask,
-        Outcome::Done(_) | Outcome::Unknown(_) => NextStep::Settle(outcome),
+        Outcome::NotRun(refusal) => NextStep::TryAnotherGuard(refusal),
+        Outcome::Unknown(Doubt::StillRunning) => NextStep::QueryAttempt,
+        Outcome::Done(_) | Outcome::Unknown(_) => NextStep::Finish(outcome),
     }
 }
 
 /// Judges the lack of an answer to a dispatch. Only a refused connection proves anything.
 pub fn step_after_connection_failure(silence: ConnectionFailure) -> NextStep {
     match silence {
-        ConnectionFailure::Refused => NextStep::TryAnother(Refusal::GuardUnreachable),
-        ConnectionFailure::NoLocalPort => NextStep::TryAnother(Refusal::Overloaded),
-        ConnectionFailure::Lost => NextStep::Ask,
+        ConnectionFailure::Refused => NextStep::TryAnotherGuard(Refusal::GuardUnreachable),
+        ConnectionFailure::NoLocalPort => NextStep::TryAnotherGuard(Refusal::Overloaded),
+        ConnectionFailure::Lost => NextStep::QueryAttempt,
     }
 }
 
 /// Judges a guard's answer to a revoke.
 pub fn step_after_revoke(reply: RevokeReply) -> NextStep {
     match reply {
-        RevokeReply::Ended(outcome) => NextStep::Settle(outcome),
-        RevokeReply::Running => NextStep::Ask,
-        RevokeReply::Revoked => NextStep::TryAnother(Refusal::Revoked),
-        RevokeReply::NoMemory => NextStep::Settle(Outcome::Unknown(Doubt::GuardForgot)),
+        RevokeReply::Ended(outcome) => NextStep::Finish(outcome),
+        RevokeReply::Running => NextStep::QueryAttempt,
+        RevokeReply::Revoked => NextStep::TryAnotherGuard(Refusal::Revoked),
+        RevokeReply::NoMemory => NextStep::Finish(Outcome::Unknown(Doubt::GuardForgot)),
     }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -65,13 +65,13 @@
         service: format!("service-{}", (number * ENDPOINTS + at) % 910).into(),
         slots: 7,
         state: EndpointState::Serving,
-        failures: 0,
+        failure_level: 0,
     };
     Row {
-        daemon: format!("vm-{number}").into(),
+        name: format!("vm-{number}").into(),
         stamp: Stamp { incarnation: 1_800_000_000 << 20, sequence, down: false },
         data_centre: format!("dc-{}", number % 6).into(),
-        peers: ([10, 0, (number / 250) as u8, (number % 250) as u8], 7101).into(),
+        peer_address: ([10, 0, (number / 250) as u8, (number % 250) as u8], 7101).into(),
         leaving: false,
         endpoints: (0..ENDPOINTS).map(endpoint).collect(),
     }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -20,10 +20,10 @@
 
 fn row(name: &str, incarnation: u64, sequence: u64) -> Row {
     Row {
-        daemon: name.into(),
+        name: name.into(),
         stamp: Stamp { incarnation, sequence, down: false },
         data_centre: "dc-1".into(),
-        peers: address(),
+        peer_address: address(),
         leaving: false,
         endpoints: GuardedService { service: "desk".into(), endpoint: None },
     }
@@ -120,7 +120,7 @@
 
     assert_eq!(directory.guard_count("desk"), 2);
     assert_eq!(directory.guard_count("ledger"), 0);
-    assert_eq!(directory.members().map(|it| &*it.1.daemon).collect::<Vec<_>>(), ["d"]);
+    assert_eq!(directory.members().map(|it| &*it.1.name).collect::<Vec<_>>(), ["d"]);
 }
 
 /// A fleet in which each has exchanges with a few dozen others only. The table is the pause between a change and the time
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -237,7 +237,7 @@
                 it.running.push(leg.clone());
                 None
             }
-            DispatchDecision::Running => Some(Outcome::Unknown(Doubt::StillRunning)),
+            DispatchDecision::AlreadyRunning => Some(Outcome::Unknown(Doubt::StillRunning)),
             DispatchDecision::Ended(outcome) => Some(outcome),
             DispatchDecision::Stale => Some(Outcome::NotRun(Refusal::StaleDispatch)),
         }
@@ -290,13 +290,13 @@
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
         let run = self.runs[at].take().expect("the position has a run");
         match verdict {
-            NextStep::Settle(outcome) => self.settle(leg.ticket.sequence, outcome),
-            NextStep::TryAnother(_) if leg.attempt < 3 => {
+            NextStep::Finish(outcome) => self.settle(leg.ticket.sequence, outcome),
+            NextStep::TryAnotherGuard(_) if leg.attempt < 3 => {
                 self.attempt(at, &leg.ticket, (run.guard + 1) % GUARDS);
                 Ok(())
             }
-            NextStep::TryAnother(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
-            NextStep::Ask => {
+            NextStep::TryAnotherGuard(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
+            NextStep::QueryAttempt => {
                 self.ask_guard(&run);
                 self.runs[at] = Some(run);
                 Ok(())
@@ -312,7 +312,7 @@
     fn silence(&mut self, at: usize) -> Result<(), String> {
         let Some(run) = self.runs[at].clone() else { return Ok(()) };
         if self.without == Without::AskingBeforeAnotherGuard {
-            return self.conclude(&run.leg, NextStep::TryAnother(Refusal::GuardUnreachable));
+            return self.conclude(&run.leg, NextStep::TryAnotherGuard(Refusal::GuardUnreachable));
         }
         self.conclude(&run.leg, step_after_connection_failure(ConnectionFailure::Lost))
     }
@@ -323,9 +323,9 @@
             let leg = TicketLeg { ticket, attempt, low_water: self.home.low_water() };
             let at: usize = guard.daemon.parse().expect("guards are numbered");
             match step_after_revoke(self.revoke(at, guard.incarnation, &leg)) {
-                NextStep::Settle(outcome) => self.settle(sequence, outcome)?,
-                NextStep::TryAnother(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
-                NextStep::Ask => (),
+                NextStep::Finish(outcome) => self.settle(sequence, outcome)?,
+                NextStep::TryAnotherGuard(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
+                NextStep::QueryAttempt => (),
             }
         }
         Ok(())
