--- a/src/daemon/desk.rs
+++ b/src/daemon/desk.rs
@@ -35,7 +35,7 @@
     pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> BeginDecision {
         let mut home = lock(&self.home);
         loop {
-            let begin = home.begin(ticket, fingerprint);
+            let begin = home.begin_run(ticket, fingerprint);
             let left = deadline.saturating_duration_since(Instant::now());
             if begin != BeginDecision::AlreadyRunning {
                 return begin;
@@ -51,13 +51,13 @@
     /// Numbers the next attempt under a running ticket.
     pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
         let mut home = lock(&self.home);
-        let attempt = home.dispatch(ticket.sequence, guard)?;
+        let attempt = home.record_dispatch(ticket.sequence, guard)?;
         Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
     /// Ends a run, or clears up an unknown one.
     pub(crate) fn settle(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
-        let settled = lock(&self.home).settle(sequence, outcome);
+        let settled = lock(&self.home).record_outcome(sequence, outcome);
         self.ended.notify_all();
         settled
     }
@@ -75,11 +75,11 @@
 
     /// Lets records expire.
     pub(crate) fn expire(&self) {
-        lock(&self.home).expire(Instant::now());
+        lock(&self.home).remove_expired(Instant::now());
     }
 
     /// How many records there are.
     pub(crate) fn tally(&self) -> TicketCounts {
-        lock(&self.home).tally()
+        lock(&self.home).counts()
     }
 }
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -188,14 +188,14 @@
         let Some(leg) = &dispatch.leg else {
             return self.run_once(client, dispatch, hooks);
         };
-        match lock(&self.inner).ledger.open(leg) {
+        match lock(&self.inner).ledger.start_dispatch(leg) {
             DispatchDecision::Run => (),
             DispatchDecision::AlreadyRunning => return Outcome::Unknown(Doubt::StillRunning),
             DispatchDecision::Ended(outcome) => return outcome,
             DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
         let outcome = self.run_once(client, dispatch, hooks);
-        lock(&self.inner).ledger.finish(&leg.ticket, outcome.clone());
+        lock(&self.inner).ledger.record_outcome(&leg.ticket, outcome.clone());
         self.ended.notify_all();
         outcome
     }
--- a/src/daemon/local.rs
+++ b/src/daemon/local.rs
@@ -104,7 +104,7 @@
 fn status(daemon: &Daemon, req: Request) {
     let (daemons, daemons_down) = {
         let table = lock(&daemon.table);
-        (table.live().count() + 1, table.down().count())
+        (table.live_peers().count() + 1, table.down_rows().count())
     };
     let status = Status {
         name: &daemon.settings.name,
@@ -129,7 +129,7 @@
     let Some(version) = super::http::query(target, "version").and_then(|it| it.parse().ok()) else {
         return refuse(req, "`version` must be a number".into());
     };
-    let peers: Vec<_> = lock(&daemon.table).live().filter(|it| !it.leaving).cloned().collect();
+    let peers: Vec<_> = lock(&daemon.table).live_peers().filter(|it| !it.leaving).cloned().collect();
     let mut count = InForceCount { daemons: peers.len() + 1, in_force: 0, behind: Vec::new(), silent: Vec::new() };
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -54,8 +54,8 @@
                 pause = (pause * 2).min(JOIN_PAUSE);
             }
         }
-        lock(&daemon.table).forget(Instant::now());
-        let alone = lock(&daemon.table).live().next().is_none();
+        lock(&daemon.table).remove_expired(Instant::now());
+        let alone = lock(&daemon.table).live_peers().next().is_none();
         let period = if alone { pause } else { PERIOD };
         thread::sleep(period.mul_f64(rand::rng().random_range(0.8..1.2)));
     }
@@ -64,8 +64,8 @@
 fn partner(daemon: &Daemon) -> Partner {
     let mut rng = rand::rng();
     let table = lock(&daemon.table);
-    let live = table.live().choose(&mut rng);
-    let down = table.down().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
+    let live = table.live_peers().choose(&mut rng);
+    let down = table.down_rows().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
     match down.or(live) {
         Some(it) => Partner::Known { daemon: it.name.clone(), address: it.peer_address, stamp: it.stamp },
         None => Partner::Nobody,
@@ -96,7 +96,7 @@
 fn helpers_reach(daemon: &Daemon, address: SocketAddr) -> bool {
     let helpers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peer_address).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
+        table.live_peers().map(|it| it.peer_address).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
     };
     helpers.iter().any(|helper| {
         let probe = Probe { address };
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -303,7 +303,7 @@
     fn edit_row(&self, edit: impl FnOnce(&mut Row)) {
         let mut table = lock(&self.table);
         table.update_own(Instant::now(), edit);
-        let row = Row::clone(table.own());
+        let row = Row::clone(table.own_row());
         self.take_in(&row);
         drop(table);
         self.tell_news(vec![row]);
--- a/src/daemon/spread.rs
+++ b/src/daemon/spread.rs
@@ -62,7 +62,7 @@
     let fanout = if rows.is_empty() { VERSION_FANOUT } else { ROWS_FANOUT };
     let peers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peer_address).sample(&mut rand::rng(), fanout)
+        table.live_peers().map(|it| it.peer_address).sample(&mut rand::rng(), fanout)
     };
     let push = PushRequest { rows, version: daemon.config.version(), sender: daemon.settings.peers };
     let bytes = Arc::new(encode(&push));
--- a/src/daemon/watcher.rs
+++ b/src/daemon/watcher.rs
@@ -90,7 +90,7 @@
     let rank = |it: &str| stable_hash(&[b"watcher", it.as_bytes()]);
     let own = rank(&daemon.settings.name);
     let table = lock(&daemon.table);
-    let near = table.live().filter(|it| it.data_centre == daemon.settings.data_centre && !it.leaving);
+    let near = table.live_peers().filter(|it| it.data_centre == daemon.settings.data_centre && !it.leaving);
     near.filter(|it| rank(&it.name) < own).count() < WATCHERS
 }
 
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -85,7 +85,7 @@
 
     /// The owner's row.
     pub fn own(&self) -> &Arc<Row> {
-        self.table.own()
+        self.table.own_row()
     }
 
     /// The hash of the owner's name.
@@ -106,7 +106,7 @@
 
     /// The row with this short name.
     pub fn get_by_key(&self, key: MemberKey) -> Option<&Arc<Row>> {
-        self.table.by_key(key)
+        self.table.get_by_key(key)
     }
 
     /// The rows of the other proxies that neither left nor are held to be down, with their short names.
@@ -117,7 +117,7 @@
 
     /// The rows of those that are held to be down.
     pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row>> {
-        self.table.down()
+        self.table.down_rows()
     }
 
     /// How many data centres the live proxies are in, this one included.
@@ -144,7 +144,7 @@
             services.sort_unstable();
             let guards = services.chunk_by(|a, b| a == b).map(|it| (it[0].clone(), it.len())).collect();
             // This proxy's own counts even while it leaves.
-            let mut names: Vec<&str> = live().chain([table.own()]).map(|it| &*it.data_centre).collect();
+            let mut names: Vec<&str> = live().chain([table.own_row()]).map(|it| &*it.data_centre).collect();
             names.sort_unstable();
             names.dedup();
             Counts { guards, data_centres: names.len() }
@@ -184,7 +184,7 @@
 
     /// Drops the rows of those that left or are down for long.
     pub fn remove_expired(&mut self, now: Instant) {
-        if self.table.forget(now) {
+        if self.table.remove_expired(now) {
             self.counts = None;
         }
     }
--- a/src/rows/exchange.rs
+++ b/src/rows/exchange.rs
@@ -97,7 +97,7 @@
             let ours = table.bucket(usize::from(it.bucket));
             deliver.wanted.extend(newer(&theirs, &ours));
             let newer_here = newer(&ours, &theirs);
-            deliver.rows.extend(newer_here.filter_map(|key| table.by_key(key)).map(|row| Row::clone(row)));
+            deliver.rows.extend(newer_here.filter_map(|key| table.get_by_key(key)).map(|row| Row::clone(row)));
         }
         (!deliver.rows.is_empty() || !deliver.wanted.is_empty()).then_some(deliver)
     }
@@ -114,7 +114,7 @@
 impl<E: Clone> DeliverRequest<E> {
     /// Takes the rows in and answers with those that are wanted; also returns the news.
     pub fn answer(self, table: &mut MemberTable<E>, now: Instant) -> (DeliverResponse<E>, Vec<Row<E>>) {
-        let wanted = self.wanted.iter().filter_map(|it| table.by_key(*it));
+        let wanted = self.wanted.iter().filter_map(|it| table.get_by_key(*it));
         let rows = wanted.map(|it| Row::clone(it)).collect();
         let news = table.merge_all(self.rows, now);
         (DeliverResponse { rows }, news)
@@ -128,7 +128,7 @@
         for row in rows {
             match self.merge(row.clone(), now) {
                 MergeResult::Updated => news.push(row),
-                MergeResult::Conflict => news.push(Row::clone(self.own())),
+                MergeResult::Conflict => news.push(Row::clone(self.own_row())),
                 MergeResult::Ignored => (),
             }
         }
--- a/src/rows/table.rs
+++ b/src/rows/table.rs
@@ -82,7 +82,7 @@
     }
 
     /// The owner's row.
-    pub fn own(&self) -> &Arc<Row<E>> {
+    pub fn own_row(&self) -> &Arc<Row<E>> {
         let at = self.find(self.own).expect("the owner's row is always there");
         &self.entries[at].row
     }
@@ -94,7 +94,7 @@
 
     /// Replaces the owner's row after `edit`, with the next sequence.
     pub fn update_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row<E>)) {
-        let mut row = Row::clone(self.own());
+        let mut row = Row::clone(self.own_row());
         edit(&mut row);
         row.stamp.sequence += 1;
         row.stamp.down = false;
@@ -124,7 +124,7 @@
 
     /// Answers a claim about the owner with a higher stamp, if it may.
     fn refute(&mut self, claim: Stamp, now: Instant) {
-        if claim.incarnation == self.own().stamp.incarnation {
+        if claim.incarnation == self.own_row().stamp.incarnation {
             self.update_own(now, |it| it.stamp.sequence = claim.sequence);
         } else if self.claims == HigherIncarnationPolicy::Supersede {
             self.update_own(now, |it| it.stamp.incarnation = claim.incarnation + 1);
@@ -145,7 +145,7 @@
     }
 
     /// Drops rows of daemons that left or are down for long; whether there were any.
-    pub fn forget(&mut self, now: Instant) -> bool {
+    pub fn remove_expired(&mut self, now: Instant) -> bool {
         let own = self.own;
         let kept = |it: &TableEntry<E>| {
             let limit = match (it.row.leaving, it.row.stamp.down) {
@@ -182,11 +182,11 @@
 
     /// The row of a daemon.
     pub fn get(&self, daemon: &str) -> Option<&Arc<Row<E>>> {
-        self.by_key(member_key(daemon))
+        self.get_by_key(member_key(daemon))
     }
 
     /// The row with this short name.
-    pub fn by_key(&self, key: MemberKey) -> Option<&Arc<Row<E>>> {
+    pub fn get_by_key(&self, key: MemberKey) -> Option<&Arc<Row<E>>> {
         self.find(key).map(|at| &self.entries[at].row)
     }
 
@@ -204,13 +204,13 @@
     }
 
     /// The daemons that can be asked: neither down nor this one.
-    pub fn live(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
+    pub fn live_peers(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
         let own = self.own;
         self.entries.iter().filter(move |it| it.key != own && !it.row.stamp.down).map(|it| &it.row)
     }
 
     /// The daemons that are held to be down and still tried now and then.
-    pub fn down(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
+    pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
         self.entries.iter().filter(|it| it.row.stamp.down && !it.row.leaving).map(|it| &it.row)
     }
 
--- a/src/ticket/dispatch_ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -56,7 +56,7 @@
 
 impl DispatchLedger {
     /// Opens a line for a dispatch, or says why it must not run.
-    pub fn open(&mut self, leg: &TicketLeg) -> DispatchDecision {
+    pub fn start_dispatch(&mut self, leg: &TicketLeg) -> DispatchDecision {
         self.hear(&leg.ticket, leg.low_water);
         if leg.ticket.sequence < self.low_water(&leg.ticket) {
             return DispatchDecision::Stale;
@@ -85,7 +85,7 @@
     }
 
     /// Ends a run.
-    pub fn finish(&mut self, ticket: &Ticket, outcome: Outcome) {
+    pub fn record_outcome(&mut self, ticket: &Ticket, outcome: Outcome) {
         let at = self.find(ticket).expect("a line stays while its run is under way");
         let line = &mut self.lines[at];
         assert_eq!(line.entry, DispatchState::Running, "a run ends once");
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -135,7 +135,7 @@
     }
 
     /// Begins to run a ticket, or says why not.
-    pub fn begin(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> BeginDecision {
+    pub fn begin_run(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> BeginDecision {
         if ticket.home != self.daemon || ticket.incarnation != self.incarnation {
             return BeginDecision::IssuedElsewhere;
         }
@@ -167,7 +167,7 @@
     }
 
     /// Notes that the running ticket is about to be sent to `guard`; returns the attempt's number.
-    pub fn dispatch(&mut self, sequence: Sequence, guard: GuardIncarnation) -> Option<u32> {
+    pub fn record_dispatch(&mut self, sequence: Sequence, guard: GuardIncarnation) -> Option<u32> {
         let record = self.record(sequence)?;
         assert_eq!(record.state, TicketState::Running, "only a running ticket is sent");
         record.attempts += 1;
@@ -176,7 +176,7 @@
     }
 
     /// Ends a run, or clears up an unknown one. Returns what is recorded from now on.
-    pub fn settle(&mut self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
+    pub fn record_outcome(&mut self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
         let outcome = Arc::new(outcome);
         let Some(record) = self.record(sequence) else { return outcome };
         let event = match &*outcome {
@@ -217,7 +217,7 @@
     /// Lets records expire: a ticket issued more than `KEEP_RECORDS` ago is never run again.
     ///
     /// A run that is still under way holds the low-water sequence back.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let mut low = self.low_water;
         while let Some((_, until)) =
             self.marks.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= RECORD_RETENTION)
@@ -233,7 +233,7 @@
     }
 
     /// How many records there are.
-    pub fn tally(&self) -> TicketCounts {
+    pub fn counts(&self) -> TicketCounts {
         let running = self.records.iter().filter(|it| it.state == TicketState::Running).count();
         TicketCounts { records: self.records.len(), running }
     }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -318,10 +318,10 @@
     let mut legs = Vec::new();
     for _ in 0..COUNT {
         let ticket = home.issue(start);
-        home.begin(&ticket, ticket.sequence);
+        home.begin_run(&ticket, ticket.sequence);
         let guard = GuardIncarnation { daemon: "vm-2".into(), incarnation: 1 };
-        let attempt = home.dispatch(ticket.sequence, guard).expect("a record");
-        home.settle(ticket.sequence, answer());
+        let attempt = home.record_dispatch(ticket.sequence, guard).expect("a record");
+        home.record_outcome(ticket.sequence, answer());
         legs.push(TicketLeg { ticket, attempt, low_water: 1 });
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
@@ -330,8 +330,8 @@
     let start = Instant::now();
     let mut ledger = DispatchLedger::default();
     for leg in &legs {
-        ledger.open(leg);
-        ledger.finish(&leg.ticket, answer());
+        ledger.start_dispatch(leg);
+        ledger.record_outcome(&leg.ticket, answer());
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("ledger: {:.0} bytes and {each:.0} ns a line", (resident() - before) / COUNT as f64);
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -170,7 +170,7 @@
             }
             Action::TimePasses => {
                 self.now += RECORD_RETENTION.mul_f64(0.6);
-                self.home.expire(self.now);
+                self.home.remove_expired(self.now);
                 // Marks follow time only while tickets are issued.
                 self.home.issue(self.now);
                 Ok(())
@@ -180,7 +180,7 @@
 
     fn ask(&mut self, at: usize) -> Result<(), String> {
         let ticket = self.tickets[at].clone();
-        if self.home.begin(&ticket, 7) == BeginDecision::Run {
+        if self.home.begin_run(&ticket, 7) == BeginDecision::Run {
             self.not_run.retain(|it| *it != ticket);
             self.attempt(at, &ticket, at % GUARDS);
         }
@@ -190,7 +190,7 @@
     fn attempt(&mut self, at: usize, ticket: &Ticket, guard: usize) {
         let incarnation = self.guards[guard].incarnation;
         let guard_ref = GuardIncarnation { daemon: guard.to_string().into(), incarnation };
-        let attempt = self.home.dispatch(ticket.sequence, guard_ref).expect("a running ticket has a record");
+        let attempt = self.home.record_dispatch(ticket.sequence, guard_ref).expect("a running ticket has a record");
         let leg = TicketLeg { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
         self.runs[at] = Some(Run { leg: leg.clone(), guard, incarnation });
         self.network.push(Message::Dispatch { guard, incarnation, leg, awaited: true });
@@ -232,7 +232,7 @@
         if it.incarnation != incarnation && self.without != Without::Incarnations {
             return Some(Outcome::NotRun(Refusal::StaleDispatch));
         }
-        match it.ledger.open(leg) {
+        match it.ledger.start_dispatch(leg) {
             DispatchDecision::Run => {
                 it.running.push(leg.clone());
                 None
@@ -264,7 +264,7 @@
         if !matches!(outcome, Outcome::NotRun(_)) {
             self.count_run(&leg.ticket)?;
         }
-        self.guards[guard].ledger.finish(&leg.ticket, outcome.clone());
+        self.guards[guard].ledger.record_outcome(&leg.ticket, outcome.clone());
         self.network.push(Message::Reply { leg, outcome });
         Ok(())
     }
@@ -332,7 +332,7 @@
     }
 
     fn settle(&mut self, sequence: Sequence, outcome: Outcome) -> Result<(), String> {
-        let told = Arc::unwrap_or_clone(self.home.settle(sequence, outcome));
+        let told = Arc::unwrap_or_clone(self.home.record_outcome(sequence, outcome));
         let ticket = Ticket { home: "home".into(), incarnation: self.home_incarnation, sequence };
         let ran = self.ran.iter().find(|it| it.0 == ticket).map_or(0, |it| it.1);
         match told {
@@ -405,16 +405,16 @@
     let start = Instant::now();
     let mut home = TicketHome::new("home".into(), 1);
     let ticket = home.issue(start);
-    assert_eq!(home.begin(&ticket, 7), BeginDecision::Run);
-    home.settle(ticket.sequence, done());
+    assert_eq!(home.begin_run(&ticket, 7), BeginDecision::Run);
+    home.record_outcome(ticket.sequence, done());
 
     for minute in 1..=12 {
         home.issue(start + Duration::from_secs(60 * minute));
     }
-    home.expire(start + Duration::from_secs(60 * 12));
+    home.remove_expired(start + Duration::from_secs(60 * 12));
 
-    assert_eq!(home.begin(&ticket, 7), BeginDecision::Expired);
-    assert_eq!(home.tally().records, 0);
+    assert_eq!(home.begin_run(&ticket, 7), BeginDecision::Expired);
+    assert_eq!(home.counts().records, 0);
 }
 
 #[test]
@@ -424,8 +424,8 @@
     let mut ledger = DispatchLedger::default();
     assert_eq!(ledger.revoke(&leg(5, 1)), RevokeReply::Revoked);
 
-    let opened = ledger.open(&leg(9, 8));
-    let late = ledger.open(&leg(5, 1));
+    let opened = ledger.start_dispatch(&leg(9, 8));
+    let late = ledger.start_dispatch(&leg(5, 1));
 
     assert_eq!(opened, DispatchDecision::Run);
     assert_eq!(late, DispatchDecision::Stale);
