--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -13,7 +13,7 @@
 use crate::{
     decide::{Candidate, EndpointCapacity, PathHealth, choose_endpoint, eligible_endpoints, median_failure_rate},
     rows::{DaemonId, EndpointRow, EndpointState, Incarnation, Row},
-    targets::{Directory, Importance},
+    targets::{ConfigIndex, Importance},
     util::lock,
     wire::{DispatchReply, Refusal},
 };
@@ -157,9 +157,9 @@
     }
 
     /// Takes a row in; `directory` gives the floors.
-    pub(crate) fn apply(&self, row: &Row, directory: Option<&Directory>) {
+    pub(crate) fn apply(&self, row: &Row, directory: Option<&ConfigIndex>) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
-        let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.daemon));
+        let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.name));
         let known = found.ok().map(|at| inner.guards.remove(at));
         let guard = self.guard(row, known.as_ref());
         let gone = row.stamp.down || row.leaving;
@@ -179,7 +179,7 @@
     }
 
     /// Applies the floors of a new configuration.
-    pub(crate) fn refloor(&self, directory: &Directory) {
+    pub(crate) fn refloor(&self, directory: &ConfigIndex) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         for service in &mut inner.services {
             let targets = service.targets.clone();
@@ -189,13 +189,14 @@
 
     /// The path's health outlives a row, but not an incarnation.
     fn guard(&self, row: &Row, known: Option<&Known>) -> Arc<Guard> {
-        let same = known.filter(|it| it.guard.incarnation == row.stamp.incarnation && it.guard.peers == row.peers);
+        let same =
+            known.filter(|it| it.guard.incarnation == row.stamp.incarnation && it.guard.peers == row.peer_address);
         match same {
             Some(it) => Arc::clone(&it.guard),
             None => Arc::new(Guard {
-                daemon: row.daemon.clone(),
+                daemon: row.name.clone(),
                 incarnation: row.stamp.incarnation,
-                peers: row.peers,
+                peers: row.peer_address,
                 near: row.data_centre == self.data_centre,
                 path: Mutex::default(),
             }),
@@ -233,7 +234,7 @@
     pub(crate) fn baseline(&self, service: &str, except: &str) -> f64 {
         let Some(service) = self.service(service) else { return 0.0 };
         let others = service.targets.iter().filter(|it| *it.row.id != *except);
-        let mut levels: Vec<u8> = others.map(|it| it.row.failures).collect();
+        let mut levels: Vec<u8> = others.map(|it| it.row.failure_level).collect();
         median_failure_rate(&mut levels)
     }
 
@@ -265,7 +266,13 @@
 
 impl Inner {
     /// Replaces a guard's targets in one service.
-    fn replace(&mut self, guard: &Arc<Guard>, name: Box<str>, offered: &[EndpointRow], directory: Option<&Directory>) {
+    fn replace(
+        &mut self,
+        guard: &Arc<Guard>,
+        name: Box<str>,
+        offered: &[EndpointRow],
+        directory: Option<&ConfigIndex>,
+    ) {
         let found = self.services.binary_search_by(|it| it.name.cmp(&name));
         let old: &[Arc<Target>] = found.map_or(&[], |at| &self.services[at].targets);
         let targets = replace(old, guard, &name, offered);
@@ -287,11 +294,15 @@
 }
 
 impl Service {
-    fn new(name: Box<str>, targets: Vec<Arc<Target>>, directory: Option<&Directory>) -> Self {
+    fn new(name: Box<str>, targets: Vec<Arc<Target>>, directory: Option<&ConfigIndex>) -> Self {
         let floor = directory.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR, |it| it.floor_percent);
         let standings: Vec<_> = targets
             .iter()
-            .map(|it| EndpointCapacity { slots: it.row.slots, state: it.row.state, failure_level: it.row.failures })
+            .map(|it| EndpointCapacity {
+                slots: it.row.slots,
+                state: it.row.state,
+                failure_level: it.row.failure_level,
+            })
             .collect();
         let eligible = eligible_endpoints(&standings, floor);
         Self { name, targets, eligible }
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -18,8 +18,8 @@
         Sample, WaiterDecision, WaiterId, failure_level,
     },
     rows::{EndpointId, EndpointRow, EndpointState, Incarnation},
-    targets::Weighs,
-    ticket::{Ledger, Opening},
+    targets::EjectionPreference,
+    ticket::{DispatchDecision, DispatchLedger},
     util::lock,
     wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
 };
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Measure {
     pub(crate) baseline: f64,
-    pub(crate) weighs: Weighs,
+    pub(crate) weighs: EjectionPreference,
 }
 
 /// What a guard asks of its daemon while it runs a dispatch.
@@ -89,7 +89,7 @@
 struct Inner {
     /// Sorted by id.
     endpoints: Vec<Endpoint>,
-    ledger: Ledger,
+    ledger: DispatchLedger,
 }
 
 /// The guard's state.
@@ -188,14 +188,14 @@
         let Some(leg) = &dispatch.leg else {
             return self.run_once(client, dispatch, hooks);
         };
-        match lock(&self.inner).ledger.open(leg) {
-            Opening::Run => (),
-            Opening::Running => return Outcome::Unknown(Doubt::StillRunning),
-            Opening::Ended(outcome) => return outcome,
-            Opening::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
+        match lock(&self.inner).ledger.start_dispatch(leg) {
+            DispatchDecision::Run => (),
+            DispatchDecision::AlreadyRunning => return Outcome::Unknown(Doubt::StillRunning),
+            DispatchDecision::Ended(outcome) => return outcome,
+            DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
         let outcome = self.run_once(client, dispatch, hooks);
-        lock(&self.inner).ledger.finish(&leg.ticket, outcome.clone());
+        lock(&self.inner).ledger.record_outcome(&leg.ticket, outcome.clone());
         self.ended.notify_all();
         outcome
     }
@@ -338,7 +338,7 @@
             service: self.service.clone(),
             slots: self.slots,
             state: self.standing.state(),
-            failures: failure_level(self.standing.failure_rate()),
+            failure_level: failure_level(self.standing.failure_rate()),
         }
     }
 
@@ -373,5 +373,5 @@
 
 /// Whether the fleet must hear of a change at once; load alone rides on answers.
 fn tells_more(before: &EndpointRow, after: &EndpointRow) -> bool {
-    before.state != after.state || before.failures.abs_diff(after.failures) >= 2
+    before.state != after.state || before.failure_level.abs_diff(after.failure_level) >= 2
 }
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -107,7 +107,7 @@
 fn status(daemon: &Daemon, req: Request) {
     let (daemons, daemons_down) = {
         let table = lock(&daemon.table);
-        (table.live().count() + 1, table.down().count())
+        (table.live_peers().count() + 1, table.down_rows().count())
     };
     let status = Status {
         name: &daemon.settings.name,
@@ -132,14 +132,14 @@
     let Some(version) = super::http_server::query(target, "version").and_then(|it| it.parse().ok()) else {
         return refuse(req, "`version` must be a number".into());
     };
-    let peers: Vec<_> = lock(&daemon.table).live().filter(|it| !it.leaving).cloned().collect();
+    let peers: Vec<_> = lock(&daemon.table).live_peers().filter(|it| !it.leaving).cloned().collect();
     let mut count =
         RolloutStatus { daemons: peers.len() + 1, active: 0, outdated: Vec::new(), unreachable: Vec::new() };
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
-        let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
+        let answer = daemon.peers.call(row.peer_address, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
         let has = answer.ok().map(|it: InForce| it.version);
-        count.add(&row.daemon, has, version);
+        count.add(&row.name, has, version);
     }
     respond_json(req, 200, &count);
 }
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -15,9 +15,9 @@
         http_client::Connection,
         peers::{CONTROL_TIMEOUT, PeerCall, Probe, Probed},
     },
-    rows::{Compare, Compared, Deliver, Delivered, Row, Stamp},
+    rows::{CompareRequest, CompareResponse, DeliverRequest, DeliverResponse, Row, Stamp},
     store::presence_prefix,
-    ticket::Silence,
+    ticket::ConnectionFailure,
     util::lock,
 };
 
@@ -54,8 +54,8 @@
                 pause = (pause * 2).min(JOIN_PAUSE);
             }
         }
-        lock(&daemon.table).forget(Instant::now());
-        let alone = lock(&daemon.table).live().next().is_none();
+        lock(&daemon.table).remove_expired(Instant::now());
+        let alone = lock(&daemon.table).live_peers().next().is_none();
         let period = if alone { pause } else { PERIOD };
         thread::sleep(period.mul_f64(rand::rng().random_range(0.8..1.2)));
     }
@@ -64,10 +64,10 @@
 fn partner(daemon: &Daemon) -> Partner {
     let mut rng = rand::rng();
     let table = lock(&daemon.table);
-    let live = table.live().choose(&mut rng);
-    let down = table.down().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
+    let live = table.live_peers().choose(&mut rng);
+    let down = table.down_rows().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
     match down.or(live) {
-        Some(it) => Partner::Known { daemon: it.daemon.clone(), address: it.peers, stamp: it.stamp },
+        Some(it) => Partner::Known { daemon: it.name.clone(), address: it.peer_address, stamp: it.stamp },
         None => Partner::Nobody,
     }
 }
@@ -96,7 +96,7 @@
 fn helpers_reach(daemon: &Daemon, address: SocketAddr) -> bool {
     let helpers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peers).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
+        table.live_peers().map(|it| it.peer_address).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
     };
     helpers.iter().any(|helper| {
         let probe = Probe { address };
@@ -106,12 +106,12 @@
 }
 
 /// Compares tables with a peer and evens them out.
-fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), Silence> {
-    let compare = Compare::new(&lock(&daemon.table), daemon.config.version());
-    let call = |call, message: &Deliver| {
-        daemon.peers.call::<_, Delivered>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
+fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), ConnectionFailure> {
+    let compare = CompareRequest::new(&lock(&daemon.table), daemon.config.version());
+    let call = |call, message: &DeliverRequest| {
+        daemon.peers.call::<_, DeliverResponse>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
     };
-    let compared: Compared =
+    let compared: CompareResponse =
         daemon.peers.call(address, PeerCall::Compare, &compare, Connection::Fresh, CONTROL_TIMEOUT)?;
     if compared.version > daemon.config.version() {
         daemon.fetch_from_peer(address);
@@ -146,12 +146,12 @@
 
 impl Daemon {
     /// Answers a peer's comparison.
-    pub(crate) fn compared(self: &Arc<Self>, compare: &Compare) -> Compared {
+    pub(crate) fn compared(self: &Arc<Self>, compare: &CompareRequest) -> CompareResponse {
         compare.answer(&lock(&self.table), self.config.version())
     }
 
     /// Answers a peer's delivery.
-    pub(crate) fn delivered(&self, deliver: Deliver) -> Delivered {
+    pub(crate) fn delivered(&self, deliver: DeliverRequest) -> DeliverResponse {
         let mut table = lock(&self.table);
         let (delivered, news) = deliver.answer(&mut table, Instant::now());
         self.view_news(&news);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -53,10 +53,10 @@
     },
     decide::ClassRetryBudget,
     error::Error,
-    rows::{Incarnation, OwnClaims, Row, Stamp, Table},
+    rows::{HigherIncarnationPolicy, Incarnation, MemberTable, Row, Stamp},
     settings::Settings,
     store::{ObjectStore, StoreClient},
-    targets::{Importance, Weighs},
+    targets::{EjectionPreference, Importance},
     util::{lock, unix_seconds},
     wire::{Dispatch, DispatchReply},
 };
@@ -116,7 +116,7 @@
     started: Instant,
     phase: PhaseCell,
     config: ConfigCell,
-    table: Mutex<Table>,
+    table: Mutex<MemberTable>,
     view: View,
     home: HomeDesk,
     guard: GuardDesk,
@@ -221,10 +221,10 @@
         let incarnation = incarnation();
         let client = Arc::new(Client::new());
         let row = Row {
-            daemon: settings.name.clone(),
+            name: settings.name.clone(),
             stamp: Stamp { incarnation, sequence: 1, down: false },
             data_centre: settings.data_centre.clone(),
-            peers: settings.peers,
+            peer_address: settings.peers,
             leaving: false,
             endpoints: Vec::new(),
         };
@@ -233,7 +233,7 @@
             started: now,
             phase: PhaseCell::default(),
             config: ConfigCell::default(),
-            table: Mutex::new(Table::new(row, OwnClaims::Stand, now)),
+            table: Mutex::new(MemberTable::new(row, HigherIncarnationPolicy::Accept, now)),
             view: View::new(settings.data_centre.clone()),
             home: HomeDesk::new(settings.name.clone(), incarnation),
             guard: GuardDesk::new(incarnation),
@@ -287,7 +287,10 @@
         let service = self.guard.service_of(endpoint).unwrap_or_default();
         let config = self.config.get();
         let weighs = config.as_ref().and_then(|it| it.directory.service(&service)).map(|it| it.weighs);
-        Measure { baseline: self.view.baseline(&service, endpoint), weighs: weighs.unwrap_or(Weighs::FalseEjections) }
+        Measure {
+            baseline: self.view.baseline(&service, endpoint),
+            weighs: weighs.unwrap_or(EjectionPreference::FalseEjections),
+        }
     }
 
     /// Brings the own row up to date with the guard's endpoints.
@@ -299,8 +302,8 @@
     /// Changes the own row and tells the fleet.
     fn edit_row(&self, edit: impl FnOnce(&mut Row)) {
         let mut table = lock(&self.table);
-        table.edit_own(Instant::now(), edit);
-        let row = Row::clone(table.own());
+        table.update_own(Instant::now(), edit);
+        let row = Row::clone(table.own_row());
         self.take_in(&row);
         drop(table);
         self.tell_news(vec![row]);
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -14,9 +14,9 @@
         http_client::{Client, Connection},
         http_server::{Request, path, respond},
     },
-    rows::{Compare, Compared, DaemonId, Deliver, Delivered, Push},
+    rows::{CompareRequest, CompareResponse, DaemonId, DeliverRequest, DeliverResponse, PushRequest},
     targets::{Importance, PartRef},
-    ticket::Silence,
+    ticket::ConnectionFailure,
     wire::{
         Dispatch, DispatchReply, Forward, InForce, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
         TicketStatus, decode, encode,
@@ -47,11 +47,11 @@
     Ticket,
     /// `TicketQuery` to `TicketStatus`, from a guard's ledger.
     Ledger,
-    /// `Compare` to `Compared`.
+    /// `CompareRequest` to `CompareResponse`.
     Compare,
-    /// `Deliver` to `Delivered`.
+    /// `DeliverRequest` to `DeliverResponse`.
     Deliver,
-    /// `Push` to nothing.
+    /// `PushRequest` to nothing.
     Push,
     /// `Probe` to `Probed`.
     Probe,
@@ -137,9 +137,9 @@
         message: &Q,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<A, Silence> {
+    ) -> Result<A, ConnectionFailure> {
         let bytes = self.send(address, call, encode(message), 0, connection, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends a dispatch.
@@ -149,10 +149,10 @@
         dispatch: &Dispatch,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<DispatchReply, Silence> {
+    ) -> Result<DispatchReply, ConnectionFailure> {
         let bytes = encode(dispatch);
         let bytes = self.send(address, PeerCall::Dispatch, bytes, dispatch.importance, connection, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends work to its ticket's home.
@@ -161,10 +161,10 @@
         address: SocketAddr,
         forward: &Forward,
         timeout: Duration,
-    ) -> Result<Outcome, Silence> {
+    ) -> Result<Outcome, ConnectionFailure> {
         let bytes = encode(forward);
         let bytes = self.send(address, PeerCall::Forward, bytes, forward.importance, Connection::Fresh, timeout)?;
-        decode(&bytes).map_err(|_| Silence::Lost)
+        decode(&bytes).map_err(|_| ConnectionFailure::Lost)
     }
 
     /// Sends a coded message and returns the coded answer.
@@ -176,20 +176,20 @@
         importance: Importance,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<Vec<u8>, Silence> {
+    ) -> Result<Vec<u8>, ConnectionFailure> {
         let req = http::Request::builder()
             .method("POST")
             .uri(format!("http://{address}{}", call.path()))
             .header(PEER_KEY_HEADER, &*self.key)
             .header(IMPORTANCE_HEADER, u16::from(importance))
             .body(body)
-            .map_err(|_| Silence::Refused)?;
+            .map_err(|_| ConnectionFailure::Refused)?;
         let reply = self.client.call(req, connection, timeout)?;
         match reply.status {
             200 => Ok(reply.body),
             // The peer refused before it looked into the message.
-            403 | 503 => Err(Silence::Refused),
-            _ => Err(Silence::Lost),
+            403 | 503 => Err(ConnectionFailure::Refused),
+            _ => Err(ConnectionFailure::Lost),
         }
     }
 }
@@ -249,15 +249,15 @@
             Some(encode::<TicketStatus>(&daemon.guard.status(&it.ticket)))
         }
         PeerCall::Compare => {
-            let it: Compare = decode(body).ok()?;
-            Some(encode::<Compared>(&daemon.compared(&it)))
+            let it: CompareRequest = decode(body).ok()?;
+            Some(encode::<CompareResponse>(&daemon.compared(&it)))
         }
         PeerCall::Deliver => {
-            let it: Deliver = decode(body).ok()?;
-            Some(encode::<Delivered>(&daemon.delivered(it)))
+            let it: DeliverRequest = decode(body).ok()?;
+            Some(encode::<DeliverResponse>(&daemon.delivered(it)))
         }
         PeerCall::Push => {
-            let it: Push = decode(body).ok()?;
+            let it: PushRequest = decode(body).ok()?;
             daemon.pushed(it);
             Some(Vec::new())
         }
@@ -292,5 +292,5 @@
 /// A daemon's address in the table.
 pub(crate) fn address_of(daemon: &Daemon, id: &DaemonId) -> Option<SocketAddr> {
     let table = crate::util::lock(&daemon.table);
-    table.get(id).map(|it| it.peers)
+    table.get(id).map(|it| it.peer_address)
 }
--- a/src/proxy/directory.rs
+++ b/src/proxy/directory.rs
@@ -8,7 +8,9 @@
     decide::{incarnation::EndpointId, suspicion::EndpointStanding},
     platform::PresenceObject,
     proxy::routes::{ServiceName, Version},
-    rows::{self, Compare, Compared, DaemonKey, Merge, OwnClaims, Stamp, Table},
+    rows::{
+        self, CompareRequest, CompareResponse, HigherIncarnationPolicy, MemberKey, MemberTable, MergeResult, Stamp,
+    },
 };
 
 /// A proxy's name, unique in the fleet.
@@ -64,7 +66,7 @@
 
 /// The rows of all known proxies, including this one, which owns the directory.
 pub struct Directory {
-    table: Table<GuardedService>,
+    table: MemberTable<GuardedService>,
     /// Cached counts of the live rows; `None` after a change.
     counts: Option<Counts>,
 }
@@ -79,22 +81,22 @@
 impl Directory {
     /// Creates a directory that holds only the owner's row.
     pub fn new(own: Row, now: Instant) -> Self {
-        Self { table: Table::new(own, OwnClaims::Outbid, now), counts: None }
+        Self { table: MemberTable::new(own, HigherIncarnationPolicy::Supersede, now), counts: None }
     }
 
     /// Returns the owner's row.
     pub fn own(&self) -> &Arc<Row> {
-        self.table.own()
+        self.table.own_row()
     }
 
     /// Returns the hash of the owner's name.
-    pub fn own_key(&self) -> DaemonKey {
+    pub fn own_key(&self) -> MemberKey {
         self.table.own_key()
     }
 
     /// Changes the owner's row and its stamp.
-    pub fn edit_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row)) {
-        self.table.edit_own(now, edit);
+    pub fn update_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row)) {
+        self.table.update_own(now, edit);
         self.counts = None;
     }
 
@@ -104,19 +106,19 @@
     }
 
     /// Returns the row whose owner's name has the hash `key`.
-    pub fn get_by_key(&self, key: DaemonKey) -> Option<&Arc<Row>> {
-        self.table.by_key(key)
+    pub fn get_by_key(&self, key: MemberKey) -> Option<&Arc<Row>> {
+        self.table.get_by_key(key)
     }
 
     /// Iterates over the live rows of other proxies, with the hashes of their names.
-    pub fn members(&self) -> impl Iterator<Item = (DaemonKey, &Arc<Row>)> {
+    pub fn members(&self) -> impl Iterator<Item = (MemberKey, &Arc<Row>)> {
         let own = self.own_key();
         self.table.entries().iter().map(|it| (it.key(), &it.row)).filter(move |(key, row)| *key != own && is_live(row))
     }
 
     /// Iterates over the rows of proxies that are marked down and not leaving.
     pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row>> {
-        self.table.down()
+        self.table.down_rows()
     }
 
     /// Counts the data centres of the live proxies and this one.
@@ -143,7 +145,7 @@
             services.sort_unstable();
             let service_guards = services.chunk_by(|a, b| a == b).map(|it| (it[0].clone(), it.len())).collect();
             // The owner's data centre counts even while the owner leaves.
-            let mut data_centres: Vec<&str> = live().chain([table.own()]).map(|it| &*it.data_centre).collect();
+            let mut data_centres: Vec<&str> = live().chain([table.own_row()]).map(|it| &*it.data_centre).collect();
             data_centres.sort_unstable();
             data_centres.dedup();
             Counts { service_guards, data_centres: data_centres.len() }
@@ -151,7 +153,7 @@
     }
 
     /// Stores `row` if it is newer than the known row of its owner.
-    pub fn merge(&mut self, row: Row, now: Instant) -> Merge {
+    pub fn merge(&mut self, row: Row, now: Instant) -> MergeResult {
         self.counts = None;
         self.table.merge(row, now)
     }
@@ -165,10 +167,10 @@
     /// Adds the proxies that the store lists. Rows that came from the proxies themselves are newer and stay.
     pub fn seed_from_store(&mut self, listed: impl Iterator<Item = PresenceObject>, now: Instant) {
         let rows = listed.map(|it| Row {
-            daemon: it.name,
+            name: it.name,
             stamp: Stamp { incarnation: 0, sequence: 0, down: false },
             data_centre: it.data_centre,
-            peers: it.peers,
+            peer_address: it.peers,
             leaving: false,
             endpoints: GuardedService { service: it.service, endpoint: None },
         });
@@ -183,7 +185,7 @@
 
     /// Drops rows whose owner left or was marked down long ago.
     pub fn remove_expired(&mut self, now: Instant) {
-        if self.table.forget(now) {
+        if self.table.remove_expired(now) {
             self.counts = None;
         }
     }
@@ -194,26 +196,26 @@
     }
 
     /// Returns the underlying table for an anti-entropy exchange.
-    pub fn table(&self) -> &Table<GuardedService> {
+    pub fn table(&self) -> &MemberTable<GuardedService> {
         &self.table
     }
 
     /// Creates the first message of an anti-entropy exchange of rows.
-    pub fn compare(&self, version: Version) -> Compare {
-        Compare::new(&self.table, version)
+    pub fn compare(&self, version: Version) -> CompareRequest {
+        CompareRequest::new(&self.table, version)
     }
 
     /// Responds to the first message of an exchange.
-    pub fn answer_compare(&self, compare: &Compare, version: Version) -> Compared {
+    pub fn answer_compare(&self, compare: &CompareRequest, version: Version) -> CompareResponse {
         compare.answer(&self.table, version)
     }
 
     /// Merges the rows of the last message of an exchange. Returns the response and the rows that were newer.
     pub fn answer_deliver(
         &mut self,
-        deliver: rows::Deliver<GuardedService>,
+        deliver: rows::DeliverRequest<GuardedService>,
         now: Instant,
-    ) -> (rows::Delivered<GuardedService>, Vec<Row>) {
+    ) -> (rows::DeliverResponse<GuardedService>, Vec<Row>) {
         self.counts = None;
         deliver.answer(&mut self.table, now)
     }
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -14,10 +14,10 @@
         Proxy, clock,
         directory::{ProxyStatus, Row, StatusUpdate},
         events::Event,
-        message::{Deliver, Delivered, GuardReport, Hello, HelloResponse, StateSummary, path},
+        message::{DeliverRequest, DeliverResponse, GuardReport, Hello, HelloResponse, StateSummary, path},
         peer_link::Link,
     },
-    rows::{Compare, Compared, Stamp},
+    rows::{CompareRequest, CompareResponse, Stamp},
 };
 
 /// How long changes are collected before they are sent.
@@ -112,11 +112,11 @@
         }
         metrics::counter!("jayreach_rows_taken_total").increment(changed.len() as u64);
         for row in changed {
-            if row.daemon == self.name {
+            if row.name == self.name {
                 self.request_hello_to_all();
-            } else if let Some(link) = self.link(&row.daemon) {
+            } else if let Some(link) = self.link(&row.name) {
                 self.events.emit(&Event::Row {
-                    peer: &row.daemon,
+                    peer: &row.name,
                     sequence: row.stamp.sequence,
                     endpoint: row.endpoints.endpoint.as_ref().map(|it| &*it.id.name),
                     service: Some(&row.endpoints.service),
@@ -147,7 +147,7 @@
 
     fn apply_hello_response(self: &Rc<Self>, link: &Rc<Link>, resp: HelloResponse) {
         let HelloResponse { row, status, newer_caller_row } = resp;
-        let (name, stamp) = (row.daemon.clone(), row.stamp);
+        let (name, stamp) = (row.name.clone(), row.stamp);
         self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
         self.apply_status(&name, link, stamp, status);
     }
@@ -155,7 +155,7 @@
     /// Responds to a hello, and opens a link back if the peer selected this proxy.
     pub(super) fn answer_hello(self: &Rc<Self>, hello: Hello) -> HelloResponse {
         let Hello { row, status, selected } = hello;
-        let (name, stamp) = (row.daemon.clone(), row.stamp);
+        let (name, stamp) = (row.name.clone(), row.stamp);
         if selected {
             self.ensure_link(&row).selected_by_peer.set(true);
         }
@@ -175,7 +175,7 @@
                 () = self.guard.row_changed.notified() => {
                     self.endpoint_changes.set(self.endpoint_changes.get() + 1);
                     let endpoint = self.guard.endpoint_row();
-                    self.directory.borrow_mut().edit_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
+                    self.directory.borrow_mut().update_own(clock::now(), |it| it.endpoints.endpoint = endpoint);
                     self.request_hello_to_all();
                 }
                 () = self.guard.standing_changed.notified() => {
@@ -233,11 +233,12 @@
             return;
         }
         let compare = self.directory.borrow().compare(self.version());
-        let Some(compared) = link.call_within::<_, Compared>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await else {
+        let Some(compared) = link.call_within::<_, CompareResponse>(PEER_CALL_TIMEOUT, path::COMPARE, &compare).await
+        else {
             return;
         };
         let Some(deliver) = compared.follow_up(self.directory.borrow().table()) else { return };
-        if let Some(it) = link.call_within::<_, Delivered>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
+        if let Some(it) = link.call_within::<_, DeliverResponse>(PEER_CALL_TIMEOUT, path::DELIVER, &deliver).await {
             self.merge_rows(it.rows);
         }
     }
@@ -279,12 +280,12 @@
     }
 
     /// Returns the stamps of the rows in all buckets whose digests differ.
-    pub(super) fn answer_compare(&self, compare: &Compare) -> Compared {
+    pub(super) fn answer_compare(&self, compare: &CompareRequest) -> CompareResponse {
         self.directory.borrow().answer_compare(compare, self.version())
     }
 
     /// Merges the delivered rows and returns those that the peer requested.
-    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: Deliver) -> Delivered {
+    pub(super) fn answer_deliver(self: &Rc<Self>, deliver: DeliverRequest) -> DeliverResponse {
         let (delivered, changed) = self.directory.borrow_mut().answer_deliver(deliver, clock::now());
         self.handle_changed_rows(&changed);
         delivered
--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -117,7 +117,7 @@
             self.ensure_link(row).selected.set(true);
         }
         for (name, link) in self.links.borrow().iter() {
-            let stays = selected.binary_search_by(|it| it.daemon.cmp(name)).is_ok();
+            let stays = selected.binary_search_by(|it| it.name.cmp(name)).is_ok();
             if link.selected.get() && !stays {
                 link.selected.set(false);
                 link.request_hello();
@@ -145,21 +145,21 @@
                 key: *key,
                 service: &row.endpoints.service,
                 same_data_centre: row.data_centre == own.data_centre,
-                reachable: self.link(&row.daemon).is_none_or(|it| it.is_reachable(now)),
+                reachable: self.link(&row.name).is_none_or(|it| it.is_reachable(now)),
             })
             .collect();
         let selected = subset::choose_peers(directory.own_key(), &candidates);
         let mut selected: Vec<Arc<Row>> = selected.into_iter().map(|at| Arc::clone(rows[at].1)).collect();
-        selected.sort_unstable_by(|a, b| a.daemon.cmp(&b.daemon));
+        selected.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         selected
     }
 
     /// Returns the link to the owner of `row`. Creates it if there is none or if the address changed.
     pub(super) fn ensure_link(self: &Rc<Self>, row: &Row) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
-        let found = links.binary_search_by(|it| it.0.cmp(&row.daemon));
+        let found = links.binary_search_by(|it| it.0.cmp(&row.name));
         if let Ok(at) = found
-            && links[at].1.address == row.peers
+            && links[at].1.address == row.peer_address
         {
             return Rc::clone(&links[at].1);
         }
@@ -167,10 +167,10 @@
         let link = Rc::new(Link::new(row, same_data_centre));
         match found {
             Ok(at) => links[at].1 = Rc::clone(&link),
-            Err(at) => links.insert(at, (row.daemon.clone(), Rc::clone(&link))),
+            Err(at) => links.insert(at, (row.name.clone(), Rc::clone(&link))),
         }
         drop(links);
-        spawn_local(Rc::clone(self).maintain_link(row.daemon.clone(), Rc::clone(&link)));
+        spawn_local(Rc::clone(self).maintain_link(row.name.clone(), Rc::clone(&link)));
         link
     }
 
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -362,6 +362,6 @@
 }
 
 /// Completes an anti-entropy exchange of directory rows.
-pub(super) type Deliver = crate::rows::Deliver<GuardedService>;
-/// The response to [`Deliver`].
-pub(super) type Delivered = crate::rows::Delivered<GuardedService>;
+pub(super) type DeliverRequest = crate::rows::DeliverRequest<GuardedService>;
+/// The response to [`DeliverRequest`].
+pub(super) type DeliverResponse = crate::rows::DeliverResponse<GuardedService>;
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -25,7 +25,7 @@
         directory::{ProxyStatus, Row},
         net::{self, AbortOnDropTask, LocalExecutor},
     },
-    rows::{DaemonKey, Incarnation, Stamp, daemon_key},
+    rows::{Incarnation, MemberKey, Stamp, member_key},
 };
 
 /// How long a connection may take to open; a lost SYN packet delays it by a second.
@@ -63,7 +63,7 @@
     /// The proxy's address for peers.
     pub(super) address: SocketAddr,
     /// The hash of the proxy's name.
-    pub(super) key: DaemonKey,
+    pub(super) key: MemberKey,
     /// Whether the peer is in this proxy's data centre.
     pub(super) same_data_centre: bool,
     /// Whether this proxy selected the peer.
@@ -121,8 +121,8 @@
     /// Creates an unconnected link to the owner of `row`.
     pub(super) fn new(row: &Row, same_data_centre: bool) -> Self {
         Self {
-            address: row.peers,
-            key: daemon_key(&row.daemon),
+            address: row.peer_address,
+            key: member_key(&row.name),
             same_data_centre,
             selected: Cell::new(false),
             selected_by_peer: Cell::new(false),
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -10,10 +10,13 @@
         AdmissionController, AdmissionDecision, AdmissionRequest, Candidate, FailureDetector, Sample, choose_endpoint,
     },
     rows::{
-        BucketStamps, Compare, Compared, Deliver, EndpointRow, EndpointState, OwnClaims, Row, Stamp, Table, daemon_key,
+        BucketStamps, CompareRequest, CompareResponse, DeliverRequest, EndpointRow, EndpointState,
+        HigherIncarnationPolicy, MemberTable, Row, Stamp, member_key,
     },
-    targets::{Account, Class, Directory, Route, Service, Targets, Weighs, differences, hash_token, split},
-    ticket::{GuardRef, Home, Ledger},
+    targets::{
+        Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
+    },
+    ticket::{DispatchLedger, GuardIncarnation, TicketHome},
     wire::{Answer, Outcome, TicketLeg, encode},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -62,22 +65,22 @@
         service: format!("service-{}", (number * ENDPOINTS + at) % 910).into(),
         slots: 7,
         state: EndpointState::Serving,
-        failures: 0,
+        failure_level: 0,
     };
     Row {
-        daemon: format!("vm-{number}").into(),
+        name: format!("vm-{number}").into(),
         stamp: Stamp { incarnation: 1_800_000_000 << 20, sequence, down: false },
         data_centre: format!("dc-{}", number % 6).into(),
-        peers: ([10, 0, (number / 250) as u8, (number % 250) as u8], 7101).into(),
+        peer_address: ([10, 0, (number / 250) as u8, (number % 250) as u8], 7101).into(),
         leaving: false,
         endpoints: (0..ENDPOINTS).map(endpoint).collect(),
     }
 }
 
 /// A table of `count` rows, in which the first `newer` have a higher sequence.
-fn table(count: usize, newer: usize, own: usize) -> Table {
+fn table(count: usize, newer: usize, own: usize) -> MemberTable {
     let now = Instant::now();
-    let mut table = Table::new(row(own, 1), OwnClaims::Stand, now);
+    let mut table = MemberTable::new(row(own, 1), HigherIncarnationPolicy::Accept, now);
     for number in (0..count).filter(|it| *it != own) {
         table.merge(row(number, if number < newer { 2 } else { 1 }), now);
     }
@@ -91,11 +94,11 @@
     for count in [30, 300, 2400] {
         let asker = table(count, 0, count - 1);
         let mut answerer = table(count, DIFFERING, count - 2);
-        let equal = bytes(&Compare::new(&asker, 1), &Compare::new(&asker, 1).answer(&asker, 1), None);
+        let equal = bytes(&CompareRequest::new(&asker, 1), &CompareRequest::new(&asker, 1).answer(&asker, 1), None);
         let mut size = 0;
         let time = median(|| {
             let start = Instant::now();
-            let compare = Compare::new(&asker, 1);
+            let compare = CompareRequest::new(&asker, 1);
             let compared = compare.answer(&answerer, 1);
             let deliver = compared.follow_up(&asker).expect("the tables differ");
             let (delivered, _) = deliver.clone().answer(&mut answerer, Instant::now());
@@ -117,18 +120,18 @@
     );
 }
 
-fn bytes(compare: &Compare, compared: &Compared, deliver: Option<&Deliver>) -> usize {
+fn bytes(compare: &CompareRequest, compared: &CompareResponse, deliver: Option<&DeliverRequest>) -> usize {
     encode(compare).len() + encode(compared).len() + deliver.map_or(0, |it| encode(it).len())
 }
 
 /// Bytes of an exchange's digests for other numbers of buckets, by the same codec.
 fn digests() {
     println!("# digests at 2,400 daemons, {DIFFERING} rows differ: bytes of digest and stamps an exchange");
-    let stamps: Vec<_> = (0..2400).map(|it| (daemon_key(&format!("vm-{it}")), row(it, 1).stamp)).collect();
+    let stamps: Vec<_> = (0..2400).map(|it| (member_key(&format!("vm-{it}")), row(it, 1).stamp)).collect();
     println!("{:>8} {:>10}", "buckets", "bytes");
     for buckets in [1_usize, 16, 64, 256, 1024, 4096] {
         let bucket = |key: u64| ((u128::from(key) * buckets as u128) >> 64) as usize;
-        let digest = Compare { digest: vec![0; if buckets == 1 { 0 } else { buckets * 4 }], version: 1 };
+        let digest = CompareRequest { digest: vec![0; if buckets == 1 { 0 } else { buckets * 4 }], version: 1 };
         let mut differing: Vec<_> = (0..DIFFERING).map(|it| bucket(stamps[it].0)).collect();
         differing.sort_unstable();
         differing.dedup();
@@ -136,7 +139,7 @@
             bucket: *at as u16,
             stamps: stamps.iter().filter(|it| bucket(it.0) == *at).copied().collect(),
         };
-        let compared = Compared { differing: differing.iter().map(stamps_of).collect(), version: 1 };
+        let compared = CompareResponse { differing: differing.iter().map(stamps_of).collect(), version: 1 };
         println!("{buckets:>8} {:>10}", bytes(&digest, &compared, None));
     }
 }
@@ -210,7 +213,7 @@
             .map(|it| Service {
                 name: format!("service-{it:04}").into(),
                 floor_percent: 60,
-                weighs: Weighs::DetectionTime,
+                weighs: EjectionPreference::DetectionTime,
             })
             .collect(),
         routes: (0..routes)
@@ -250,9 +253,9 @@
     let diff_ms = median(|| timed(|| differences(&targets, &changed)));
     println!("cutting into parts {:.0} ms, comparing {:.0} ms (operator's command)", split_ms.0, diff_ms.0);
     let bytes: Vec<_> = parts.into_iter().map(|it| it.bytes).collect();
-    let build_ms = median(|| timed(|| Directory::build("slopes", &bytes).expect("our own parts")));
+    let build_ms = median(|| timed(|| ConfigIndex::build("slopes", &bytes).expect("our own parts")));
     println!("building a daemon's directory {:.0} ms ({:.0} to {:.0})", build_ms.0, build_ms.1, build_ms.2);
-    let directory = Directory::build("slopes", &bytes).expect("our own parts");
+    let directory = ConfigIndex::build("slopes", &bytes).expect("our own parts");
     print_nanos(
         "route look-up, four segments",
         median(|| nanos_each(100_000, || _ = black_box(directory.route("/tenant-0007/resource-00007/a/b")))),
@@ -310,25 +313,25 @@
         Outcome::Done(Answer { status: 200, headers: ["a", "b", "c"].map(header).to_vec(), body: vec![7; 200] })
     };
     let before = resident();
-    let mut home = Home::new("vm-1".into(), 1);
+    let mut home = TicketHome::new("vm-1".into(), 1);
     let start = Instant::now();
     let mut legs = Vec::new();
     for _ in 0..COUNT {
         let ticket = home.issue(start);
-        home.begin(&ticket, ticket.sequence);
-        let guard = GuardRef { daemon: "vm-2".into(), incarnation: 1 };
-        let attempt = home.dispatch(ticket.sequence, guard).expect("a record");
-        home.settle(ticket.sequence, answer());
+        home.begin_run(&ticket, ticket.sequence);
+        let guard = GuardIncarnation { daemon: "vm-2".into(), incarnation: 1 };
+        let attempt = home.record_dispatch(ticket.sequence, guard).expect("a record");
+        home.record_outcome(ticket.sequence, answer());
         legs.push(TicketLeg { ticket, attempt, low_water: 1 });
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("home: {:.0} bytes and {each:.0} ns a record", (resident() - before) / COUNT as f64);
     let before = resident();
     let start = Instant::now();
-    let mut ledger = Ledger::default();
+    let mut ledger = DispatchLedger::default();
     for leg in &legs {
-        ledger.open(leg);
-        ledger.finish(&leg.ticket, answer());
+        ledger.start_dispatch(leg);
+        ledger.record_outcome(&leg.ticket, answer());
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("ledger: {:.0} bytes and {each:.0} ns a line", (resident() - before) / COUNT as f64);
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -9,7 +9,7 @@
     decide::incarnation::EndpointId,
     platform::PresenceObject,
     proxy::directory::{Directory, EndpointRow, GuardedService, Row},
-    rows::{Merge, Stamp},
+    rows::{MergeResult, Stamp},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use rstest::rstest;
@@ -20,10 +20,10 @@
 
 fn row(name: &str, incarnation: u64, sequence: u64) -> Row {
     Row {
-        daemon: name.into(),
+        name: name.into(),
         stamp: Stamp { incarnation, sequence, down: false },
         data_centre: "dc-1".into(),
-        peers: address(),
+        peer_address: address(),
         leaving: false,
         endpoints: GuardedService { service: "desk".into(), endpoint: None },
     }
@@ -51,11 +51,11 @@
 }
 
 #[rstest]
-#[case::later_change(row("b", 5, 3), Merge::News)]
-#[case::stale_change(row("b", 5, 1), Merge::Old)]
-#[case::later_incarnation(row("b", 6, 1), Merge::News)]
-#[case::earlier_incarnation(row("b", 4, 9), Merge::Old)]
-fn merge_keeps_the_newer_row(#[case] received: Row, #[case] expected: Merge) {
+#[case::later_change(row("b", 5, 3), MergeResult::Updated)]
+#[case::stale_change(row("b", 5, 1), MergeResult::Ignored)]
+#[case::later_incarnation(row("b", 6, 1), MergeResult::Updated)]
+#[case::earlier_incarnation(row("b", 4, 9), MergeResult::Ignored)]
+fn merge_keeps_the_newer_row(#[case] received: Row, #[case] expected: MergeResult) {
     let mut directory = directory("a", 1);
     directory.merge(row("b", 5, 2), Instant::now());
 
@@ -120,7 +120,7 @@
 
     assert_eq!(directory.guard_count("desk"), 2);
     assert_eq!(directory.guard_count("ledger"), 0);
-    assert_eq!(directory.members().map(|it| &*it.1.daemon).collect::<Vec<_>>(), ["d"]);
+    assert_eq!(directory.members().map(|it| &*it.1.name).collect::<Vec<_>>(), ["d"]);
 }
 
 /// Each proxy of a fleet exchanges rows with its linked peers only. `max_rounds` bounds the rounds, of one exchange by each
@@ -142,7 +142,7 @@
         .collect();
     let links: Vec<Vec<usize>> =
         (0..size).map(|me| (0..LINKS_PER_PROXY).map(|_| (me + rng.random_range(1..size)) % size).collect()).collect();
-    fleet[0].edit_own(Instant::now(), |it| it.endpoints.endpoint = endpoint("i-1"));
+    fleet[0].update_own(Instant::now(), |it| it.endpoints.endpoint = endpoint("i-1"));
     let changed = fleet[0].own().stamp;
 
     let has_change = |it: &Directory| it.get("vm-0").is_some_and(|it| it.stamp == changed);
