--- a/src/platform/announce.rs
+++ b/src/platform/announce.rs
@@ -1,4 +1,4 @@
-//! What endpoints announce about themselves.
+//! Decodes the calls by which endpoints announce and deregister themselves.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,16 +11,16 @@
     proxy::guard::{Announcement, EndpointPhase},
 };
 
-/// A call of an endpoint, by method and path.
+/// A call that an endpoint makes to its proxy, with the name of the endpoint from the path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnnounceCall {
-    /// It announces itself; the body says how.
+    /// The endpoint announces its address, slots and state; the body holds a heartbeat.
     Heartbeat(Box<str>),
-    /// It leaves, and may go on for a while.
+    /// The endpoint is about to shut down; requests that it is running may still complete.
     Deregister(Box<str>),
 }
 
-/// Which call `method` and `path` are, if any.
+/// Returns the call that `method` and `path` stand for, or `None` if it is no announcement.
 pub fn announce_call(method: &Method, path: &str) -> Option<AnnounceCall> {
     let (id, verb) = path.strip_prefix("/instances/")?.split_once('/')?;
     match (method, verb) {
@@ -33,67 +33,66 @@
 /// The body of a heartbeat.
 #[derive(Debug, Deserialize)]
 struct Heartbeat {
-    /// The endpoint's service.
     service: Box<str>,
-    /// Where the endpoint is.
+    /// Address of the endpoint itself.
     address: SocketAddr,
-    /// How many requests it works on at once.
+    /// Number of requests that the endpoint runs concurrently.
     slots: u32,
-    /// `ready` or `draining`.
-    state: State,
-    /// How much longer it stays slow after its start, in seconds.
+    state: HeartbeatState,
+    /// Rest of the warm-up in which the endpoint is slow, in seconds.
     #[serde(default)]
     warmup_left_s: f64,
-    /// Goes up with each call of one life.
+    /// Increases with each call of one incarnation.
     sequence: u64,
-    /// When this life began, in Unix milliseconds.
+    /// Start of the incarnation, in Unix milliseconds.
     #[serde(default, deserialize_with = "whole_number")]
     born: Option<UnixMillis>,
 }
 
-/// What is understood of any announcement.
+/// The body of a deregistration; all other fields are ignored.
 #[derive(Debug, Default, Deserialize)]
-struct Birth {
+struct Deregistration {
     #[serde(default, deserialize_with = "whole_number")]
     born: Option<UnixMillis>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum HeartbeatState {
     Ready,
     Draining,
 }
 
-/// Decodes a heartbeat of the endpoint `id`, which came at `now`.
+/// Decodes the body of a heartbeat that the endpoint `id` sent; `now` is the time of its arrival, in Unix milliseconds.
 ///
 /// # Errors
 ///
-/// A body that is not a heartbeat, with what is wrong and where.
+/// Returns the JSON error, with its line and column, if the body is not a valid heartbeat.
 pub fn parse_heartbeat(id: &str, body: &[u8], now: UnixMillis) -> Result<Announcement, serde_json::Error> {
-    let it: Heartbeat = serde_json::from_slice(body)?;
-    let phase = match it.state {
-        State::Ready => EndpointPhase::Serving,
-        State::Draining => EndpointPhase::Leaving,
+    let heartbeat: Heartbeat = serde_json::from_slice(body)?;
+    let phase = match heartbeat.state {
+        HeartbeatState::Ready => EndpointPhase::Serving,
+        HeartbeatState::Draining => EndpointPhase::Leaving,
     };
     Ok(Announcement {
-        id: EndpointId::new(id, it.born, now),
-        service: it.service,
-        address: it.address,
-        slots: it.slots,
+        id: EndpointId::new(id, heartbeat.born, now),
+        service: heartbeat.service,
+        address: heartbeat.address,
+        slots: heartbeat.slots,
         phase,
-        warmup_left: Duration::try_from_secs_f64(it.warmup_left_s).unwrap_or_default(),
-        sequence: it.sequence,
+        warmup_left: Duration::try_from_secs_f64(heartbeat.warmup_left_s).unwrap_or_default(),
+        sequence: heartbeat.sequence,
     })
 }
 
-/// Which life of the endpoint `id` says with `body` that it is gone; an empty or odd body doesn't tell its start.
+/// Returns the incarnation of the endpoint `id` that deregisters. Its start time is unknown if the body is empty or
+/// malformed.
 pub fn parse_deregistration(id: &str, body: &[u8], now: UnixMillis) -> EndpointId {
-    let birth: Birth = serde_json::from_slice(body).unwrap_or_default();
-    EndpointId::new(id, birth.born, now)
+    let deregistration: Deregistration = serde_json::from_slice(body).unwrap_or_default();
+    EndpointId::new(id, deregistration.born, now)
 }
 
-/// A whole number; anything else counts as absent.
+/// Decodes a non-negative integer; any other value counts as absent.
 fn whole_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<UnixMillis>, D::Error> {
     Ok(Value::deserialize(deserializer)?.as_u64())
 }
