--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration as the platform's store holds it.
+//! Decodes the operator's configuration from the platform's store. Each part is decoded by itself, so that an invalid
+//! route, service or limit does not invalidate the rest.
 
 use std::time::Duration;
 
@@ -12,13 +13,12 @@
     proxy::routes::{Cluster, Config, HealthPath, Idempotency, RequestLimits, Route, ServiceName, Version},
 };
 
-/// The object's `spec`, with each part as it came: one that isn't understood must not take the rest along.
+/// The object's `spec`, with each part as undecoded JSON.
 #[derive(Debug, Deserialize)]
 struct Spec<'a> {
-    /// Eight hexadecimal digits.
+    /// Written as hexadecimal digits.
     #[serde(deserialize_with = "hexadecimal")]
     version: Version,
-    /// By name.
     #[serde(borrow)]
     routes: Entries<&'a RawValue>,
     #[serde(borrow)]
@@ -32,24 +32,24 @@
     health_path: Option<Box<str>>,
 }
 
-/// Where a route applies: enough to answer its callers, even if the rest isn't understood.
+/// The requests that a route applies to. If the rest of the route is invalid, these requests are refused.
 #[derive(Debug, Deserialize)]
-struct PlaceSpec {
+struct RouteMatchSpec {
     host: Box<str>,
     path_prefix: Box<str>,
 }
 
-/// What a route asks for.
+/// How the requests of a route are handled.
 #[derive(Debug, Deserialize)]
-struct TermsSpec {
-    /// What may be repeated; a kind that isn't known yet is taken for work that may not be.
+struct RouteSpec {
+    /// Whether requests may be retried; an unknown kind is treated as non-idempotent.
     kind: Box<str>,
     timeout_s: f64,
     target_latency_s: f64,
-    /// 0 is the highest rank, although the name suggests the reverse.
+    /// 0 is the highest priority.
     priority: u32,
     max_attempts: u32,
-    /// The one service, unless there are `weighted_clusters`.
+    /// A service with weight 1, in addition to `weighted_clusters`.
     service: Option<Box<str>>,
     #[serde(default)]
     weighted_clusters: Vec<ClusterSpec>,
@@ -69,32 +69,33 @@
     idle_timeout_s: f64,
 }
 
-/// A part of a configuration that isn't understood.
+/// An invalid part of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{place}: {problem}")]
 pub struct ConfigFinding {
-    /// Which part, by its path in the object.
+    /// Path of the part in the object, such as `routes.read.kind`.
     pub place: Box<str>,
-    /// What is wrong with it, and what is done instead.
+    /// What is wrong with the part, and what applies instead.
     pub problem: Box<str>,
 }
 
-/// A configuration with what was left out of it.
+/// A decoded configuration with the findings about its invalid parts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ParsedConfig {
-    /// All that is understood.
+    /// The valid parts, with defaults for the others.
     pub config: Config,
-    /// All that isn't.
+    /// One finding for each invalid part.
     pub findings: Vec<ConfigFinding>,
 }
 
 /// Decodes the configuration object's `spec`.
 ///
-/// A route that isn't understood refuses its callers; the other routes are in force.
+/// Requests of a route with invalid settings are refused; a route whose host or path prefix is invalid is ignored. The
+/// other routes apply.
 ///
 /// # Errors
 ///
-/// What is wrong and where, if it has no version or no table of routes.
+/// Returns the JSON error, with its line and column, if the version or the table of routes is missing or invalid.
 pub fn parse_config(spec: &str) -> Result<ParsedConfig, serde_json::Error> {
     let spec: Spec<'_> = serde_json::from_str(spec)?;
     let mut findings = Vec::new();
@@ -102,18 +103,18 @@
     for (name, raw) in spec.routes.0 {
         let place: Box<str> = format!("routes.{name}").into();
         match parse_route(name, raw, &place, &mut findings) {
-            Ok(it) => routes.push(it),
-            Err(error) => findings.push(finding(&place, format!("left out: {error}"))),
+            Ok(route) => routes.push(route),
+            Err(error) => findings.push(finding(&place, format!("the route is ignored: {error}"))),
         }
     }
     let limits = match spec.limits.map(|it| parse_limits(it.get())) {
-        Some(Ok(it)) => it,
+        Some(Ok(limits)) => limits,
         Some(Err(error)) => {
-            findings.push(finding("limits", format!("the usual ones hold: {error}")));
+            findings.push(finding("limits", format!("the default limits apply: {error}")));
             RequestLimits::default()
         }
         None => {
-            findings.push(finding("limits", "absent; the usual ones hold"));
+            findings.push(finding("limits", "absent; the default limits apply"));
             RequestLimits::default()
         }
     };
@@ -122,12 +123,12 @@
     Ok(ParsedConfig { config, findings })
 }
 
-/// Decodes the health paths of services that have an unusual one.
+/// Decodes the health paths of services whose path is not the default one.
 fn parse_services(raw: &str, findings: &mut Vec<ConfigFinding>) -> Vec<(ServiceName, HealthPath)> {
     let services: Entries<&RawValue> = match serde_json::from_str(raw) {
-        Ok(it) => it,
+        Ok(services) => services,
         Err(error) => {
-            findings.push(finding("services", format!("the usual health paths hold: {error}")));
+            findings.push(finding("services", format!("the default health paths apply: {error}")));
             return Vec::new();
         }
     };
@@ -135,21 +136,21 @@
     for (name, raw) in services.0 {
         match parse_health_path(raw.get()) {
             Ok(None) => (),
-            Ok(Some(it)) => paths.push((name, it)),
+            Ok(Some(path)) => paths.push((name, path)),
             Err(error) => {
                 let place = format!("services.{name}");
-                findings.push(finding(&place, format!("the usual health path holds: {error}")));
+                findings.push(finding(&place, format!("the default health path applies: {error}")));
             }
         }
     }
     paths
 }
 
-/// Decodes what of a service matters here: its health path, unless that is the usual one.
+/// Decodes the health path of a service; `None` if it is absent or the default one.
 fn parse_health_path(raw: &str) -> Result<Option<HealthPath>, serde_json::Error> {
     let Some(path) = serde_json::from_str::<ServiceSpec>(raw)?.health_path else { return Ok(None) };
     if !path.starts_with('/') || path.parse::<PathAndQuery>().is_err() {
-        return Err(de::Error::custom(format_args!("`{path}` is no path")));
+        return Err(de::Error::custom(format_args!("invalid health path `{path}`")));
     }
     Ok(Some(path).filter(|it| **it != *DEFAULT_HEALTH_PATH))
 }
@@ -158,14 +159,14 @@
     ConfigFinding { place: place.into(), problem: problem.into() }
 }
 
-/// Decodes a route; one of which only the place is understood serves nobody.
+/// Decodes a route. If only its host and path prefix are valid, it gets no clusters, which refuses its requests.
 fn parse_route(
     name: Box<str>,
     raw: &RawValue,
     place: &str,
     findings: &mut Vec<ConfigFinding>,
 ) -> Result<Route, serde_json::Error> {
-    let PlaceSpec { host, path_prefix } = serde_json::from_str(raw.get())?;
+    let RouteMatchSpec { host, path_prefix } = serde_json::from_str(raw.get())?;
     let mut route = Route {
         name,
         host: host.to_ascii_lowercase().into(),
@@ -177,11 +178,14 @@
         rank: 0,
         clusters: Vec::new(),
     };
-    let terms = serde_json::from_str(raw.get()).and_then(|it| apply_terms(&mut route, it));
-    match terms {
+    let unknown_kind = serde_json::from_str(raw.get()).and_then(|it| apply_route_spec(&mut route, it));
+    match unknown_kind {
         Ok(None) => (),
         Ok(Some(kind)) => {
-            findings.push(finding(&format!("{place}.kind"), format!("`{kind}` is unknown: its work is not repeated")));
+            findings.push(finding(
+                &format!("{place}.kind"),
+                format!("`{kind}` is unknown; the route is treated as non-idempotent"),
+            ));
         }
         Err(error) => {
             route.clusters.clear();
@@ -191,31 +195,31 @@
     Ok(route)
 }
 
-/// Writes down what a route asks for; returns its kind if that is unknown.
-fn apply_terms(route: &mut Route, terms: TermsSpec) -> Result<Option<Box<str>>, serde_json::Error> {
-    route.timeout = seconds(terms.timeout_s)?;
-    route.target_latency = seconds(terms.target_latency_s)?;
-    route.max_attempts = terms.max_attempts.max(1);
-    route.rank = terms.priority;
-    route.clusters = clusters(terms.service, terms.weighted_clusters)?;
-    match &*terms.kind {
-        // Downloads are idempotent work with large answers.
+/// Sets the fields of `route` from its settings; returns the kind if that is unknown.
+fn apply_route_spec(route: &mut Route, spec: RouteSpec) -> Result<Option<Box<str>>, serde_json::Error> {
+    route.timeout = seconds(spec.timeout_s)?;
+    route.target_latency = seconds(spec.target_latency_s)?;
+    route.max_attempts = spec.max_attempts.max(1);
+    route.rank = spec.priority;
+    route.clusters = clusters(spec.service, spec.weighted_clusters)?;
+    match &*spec.kind {
+        // Downloads are idempotent requests with large responses.
         "idempotent" | "download" => route.idempotency = Idempotency::Idempotent,
         "non_idempotent" => route.idempotency = Idempotency::NonIdempotent,
-        _ => return Ok(Some(terms.kind)),
+        _ => return Ok(Some(spec.kind)),
     }
     Ok(None)
 }
 
 fn clusters(service: Option<Box<str>>, weighted: Vec<ClusterSpec>) -> Result<Vec<Cluster>, serde_json::Error> {
     if let Some(it) = weighted.iter().find(|it| !(it.weight.is_finite() && it.weight >= 0.0)) {
-        return Err(de::Error::custom(format_args!("`{}` has the weight {}", it.service, it.weight)));
+        return Err(de::Error::custom(format_args!("invalid weight of the service `{}`: {}", it.service, it.weight)));
     }
     let mut clusters: Vec<Cluster> =
         weighted.into_iter().map(|it| Cluster { service: it.service, weight: it.weight }).collect();
     clusters.extend(service.map(|service| Cluster { service, weight: 1.0 }));
     if clusters.is_empty() {
-        return Err(de::Error::custom("it names no service"));
+        return Err(de::Error::custom("no service in `service` or `weighted_clusters`"));
     }
     Ok(clusters)
 }
--- a/src/platform/entries.rs
+++ b/src/platform/entries.rs
@@ -1,4 +1,4 @@
-//! Objects keyed by name, read as a list.
+//! Decodes a JSON object whose keys are names into a list, which keeps the order of its entries.
 
 use std::{fmt, marker::PhantomData};
 
@@ -7,7 +7,7 @@
     de::{MapAccess, Visitor},
 };
 
-/// The entries of a JSON object, in its order.
+/// The names and values of a JSON object, in the order in which they are written.
 #[derive(Debug)]
 pub(super) struct Entries<T>(pub(super) Vec<(Box<str>, T)>);
 
@@ -23,7 +23,7 @@
     type Value = Entries<T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a table keyed by name")
+        f.write_str("an object keyed by name")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
