--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of requests and answers.
+//! The platform's headers of requests and responses.
 
 use std::time::Duration;
 
@@ -7,52 +7,52 @@
     header::{HeaderName, HeaderValue, RETRY_AFTER},
 };
 
-/// Names one attempt of a caller; endpoints echo it.
+/// Identifies one attempt of a caller; endpoints echo it.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the sender will wait for the answer, in milliseconds.
+/// How long the sender waits for the response, in milliseconds.
 const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The endpoint's signature under an answer that is its own.
+/// Signature that an endpoint adds to its own responses, so that responses of other processes are detected.
 const SEAL: HeaderName = HeaderName::from_static("x-response-seal");
-/// Which incarnation of an endpoint a request is for; any other answers 421.
+/// The incarnation of an endpoint that a request is for; any other incarnation responds with status 421.
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// An endpoint's running requests, waiting requests and slots.
+/// Counts of an endpoint's running requests, waiting requests and slots, separated by commas.
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
-/// An endpoint says with this header that it did not run the request.
+/// Present if the endpoint did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// The service of the VM where a request began.
+/// The service of the VM from which a request was first sent.
 const CALLER_SERVICE: HeaderName = HeaderName::from_static("x-caller-service");
-/// The incarnation that answers, on health questions and 421.
+/// The incarnation that responds, in responses to health probes and with status 421.
 const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
 
-/// The id of a caller's attempt.
+/// Returns the id of a caller's attempt, `None` if it is absent or not ASCII.
 pub fn request_id(headers: &HeaderMap) -> Option<&str> {
-    text(headers, &REQUEST_ID)
+    header_str(headers, &REQUEST_ID)
 }
 
-/// How long the caller will wait.
+/// Returns how long the caller waits for the response, `None` if that is absent or not a number.
 pub fn deadline(headers: &HeaderMap) -> Option<Duration> {
-    text(headers, &DEADLINE_MS)?.parse().ok().map(Duration::from_millis)
+    header_str(headers, &DEADLINE_MS)?.parse().ok().map(Duration::from_millis)
 }
 
-/// Tells the endpoint how long its answer is waited for.
-pub fn set_deadline(headers: &mut HeaderMap, left: Duration) {
-    let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+/// Sets how long the proxy waits for the response, rounded down to milliseconds.
+pub fn set_deadline(headers: &mut HeaderMap, timeout: Duration) {
+    let millis = u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX);
     headers.insert(DEADLINE_MS, HeaderValue::from(millis));
 }
 
-/// Binds a request to one incarnation of an endpoint.
+/// Restricts a request to the incarnation `id` of an endpoint; no effect if `id` is not a valid header value.
 pub fn set_expected_instance(headers: &mut HeaderMap, id: &str) {
     if let Ok(value) = HeaderValue::from_str(id) {
         headers.insert(EXPECT_INSTANCE, value);
     }
 }
 
-/// Which incarnation a request is bound to.
+/// Returns the incarnation that a request is restricted to, if any.
 pub fn expected_instance(headers: &HeaderMap) -> Option<&str> {
-    text(headers, &EXPECT_INSTANCE)
+    header_str(headers, &EXPECT_INSTANCE)
 }
 
-/// Names the service where a request began, whatever its sender wrote there.
+/// Sets the service from which a request was first sent, and drops the value that the sender gave.
 pub fn set_caller_service(headers: &mut HeaderMap, service: &str) {
     headers.remove(CALLER_SERVICE);
     if let Ok(value) = HeaderValue::from_str(service) {
@@ -60,38 +60,39 @@
     }
 }
 
-/// The service where a request began.
+/// Returns the service from which a request was first sent, if it is named.
 pub fn caller_service(headers: &HeaderMap) -> Option<&str> {
-    text(headers, &CALLER_SERVICE)
+    header_str(headers, &CALLER_SERVICE)
 }
 
-/// Whether an answer bears an endpoint's signature.
+/// Whether a response carries an endpoint's signature; the signature is not verified.
 pub fn has_response_seal(headers: &HeaderMap) -> bool {
     headers.contains_key(SEAL)
 }
 
-/// Whether the endpoint says that it did not run the request.
+/// Whether the endpoint reports that it did not run the request.
 pub fn not_executed(headers: &HeaderMap) -> bool {
     headers.contains_key(NOT_EXECUTED)
 }
 
-/// An endpoint's running requests, waiting requests and slots, as it tells them.
+/// Returns the counts of running requests, waiting requests and slots that an endpoint reports; `None` if they are absent
+/// or malformed.
 pub fn endpoint_load(headers: &HeaderMap) -> Option<(u32, u32, u32)> {
-    let mut parts = text(headers, &SERVER_LOAD)?.split(',').map(|it| it.trim().parse().ok());
+    let mut parts = header_str(headers, &SERVER_LOAD)?.split(',').map(|it| it.trim().parse().ok());
     Some((parts.next()??, parts.next()??, parts.next()??))
 }
 
-/// The incarnation that answered a health question, or a request meant for another one.
+/// Returns the incarnation that responded to a health probe, or to a request for another incarnation.
 pub fn instance_id(headers: &HeaderMap) -> Option<&str> {
-    text(headers, &INSTANCE_ID)
+    header_str(headers, &INSTANCE_ID)
 }
 
-/// The header that tells a caller when to come back.
+/// Returns a `Retry-After` header of `pause` in seconds, with two decimals.
 pub fn retry_after(pause: Duration) -> (HeaderName, HeaderValue) {
     let text = format!("{:.2}", pause.as_secs_f64());
     (RETRY_AFTER, HeaderValue::from_str(&text).expect("a number is a header value"))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/src/platform/health.rs
+++ b/src/platform/health.rs
@@ -1,4 +1,4 @@
-//! An endpoint's health path.
+//! Probes an endpoint for its health, its incarnation and its number of slots.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,25 +9,25 @@
     proxy,
 };
 
-/// Where endpoints answer health questions unless the configuration says otherwise.
+/// Path of health probes for services without a health path in the configuration.
 pub(super) const DEFAULT_HEALTH_PATH: &str = "/health";
 
-/// Asks the endpoint at `address` which incarnation it is and how many slots it has; `None` if it
-/// does not answer well. It answers at `path`, or at the usual one.
-pub async fn probe_health(address: SocketAddr, path: Option<&str>, limit: Duration) -> Option<(Box<str>, u32)> {
+/// Asks the endpoint at `address` for its incarnation and its number of slots, at `path` or the default path. Returns
+/// `None` if no response comes within `timeout`, or if it lacks either or has another status than 200.
+pub async fn probe_health(address: SocketAddr, path: Option<&str>, timeout: Duration) -> Option<(Box<str>, u32)> {
     let path = path.unwrap_or(DEFAULT_HEALTH_PATH);
-    match proxy::call(address, Method::GET, path, Bytes::new(), limit).await {
-        Ok(it) if it.status() == StatusCode::OK => {
-            let id = instance_id(it.headers())?.into();
-            let (_, _, slots) = endpoint_load(it.headers())?;
+    match proxy::call(address, Method::GET, path, Bytes::new(), timeout).await {
+        Ok(resp) if resp.status() == StatusCode::OK => {
+            let id = instance_id(resp.headers())?.into();
+            let (_, _, slots) = endpoint_load(resp.headers())?;
             Some((id, slots))
         }
-        Ok(it) => {
-            log::debug!("the endpoint at {address} says {}", it.status());
+        Ok(resp) => {
+            log::debug!("health probe of {address}{path}: status {}", resp.status());
             None
         }
         Err(error) => {
-            log::debug!("the endpoint at {address}: {error}");
+            log::debug!("health probe of {address}{path}: {error}");
             None
         }
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The users' platform: its names, formats and calls, translated to the project's types.
+//! The users' platform: converts its headers, paths and JSON formats to the types of this crate.
 //!
-//! Nothing here decides. Outside this folder no one knows a header, a field or a path of the platform.
+//! This module makes no decisions, and no other module depends on the platform's names and formats.
 
 mod announce;
 mod config;
@@ -20,5 +20,5 @@
 pub use objects::{Listing, PresenceObject, QuarantineObject, SkippedObject, TrialClaim};
 pub use store::{ConfigSnapshot, Consistency, Era, Store, StoreFailure, WatchEnd, WatchPosition};
 
-/// The path of the platform's readiness question.
+/// Path at which the platform probes whether the proxy is ready.
 pub const READINESS_PATH: &str = "/readiness";
