--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -1,59 +1,59 @@
-//! Our own objects in the platform's store: where proxies are, and which requests are held back.
+//! The proxies' own objects in the platform's store: the addresses of proxies and the quarantined requests.
 
 use std::net::SocketAddr;
 
 use hyper::{Method, StatusCode, body::Bytes};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-use super::store::{CALL_TIMEOUT, Consistency, Object, Page, Revision, Store, StoreFailure, text};
+use super::store::{CALL_TIMEOUT, Consistency, Object, Page, Revision, Store, StoreFailure, decode_text};
 use crate::{
     decide::{fingerprint::Fingerprint, quarantine::CrashRecord},
     proxy::directory::ProxyName,
 };
 
-/// Where a proxy can be reached.
+/// The name, address and location of a proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PresenceObject {
     /// The proxy's name.
     pub name: Box<str>,
-    /// Where other proxies connect to it.
+    /// Address to which other proxies connect.
     pub peers: SocketAddr,
-    /// Its data centre; empty in objects of earlier releases, until its proxy says it.
+    /// Its data centre; empty in an object that an earlier release wrote.
     #[serde(default)]
     pub data_centre: Box<str>,
-    /// The service of its VM; empty as above.
+    /// The service of its VM; empty in an object that an earlier release wrote.
     #[serde(default)]
     pub service: Box<str>,
 }
 
-/// A request that is held back.
+/// A quarantined request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineObject {
-    /// Which request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// What is known against it.
+    /// Evidence that the request crashes endpoints.
     #[serde(rename = "case")]
     pub crash_record: CrashRecord,
-    /// The proxy that wrote this.
+    /// The proxy that wrote this object.
     #[serde(rename = "by")]
     pub written_by: ProxyName,
 }
 
-/// Whose a trial is.
+/// Result of claiming a quarantine trial: only one proxy may run each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialClaim {
-    /// The asking proxy's; the case with it.
+    /// The calling proxy runs the trial; holds the crash record that counts it.
     Claimed(CrashRecord),
-    /// Another proxy's; the case as far as known.
+    /// Another proxy has claimed the trial; holds the crash record as far as it is known here.
     ClaimedByOther(CrashRecord),
 }
 
-/// An object of a kind of ours.
+/// An object that proxies write to the store.
 trait StoreObject: Serialize + DeserializeOwned {
-    /// The kind.
+    /// The kind under which the store keeps it.
     const KIND: &'static str;
 
-    /// The name it must stand under.
+    /// The name under which the store must keep it.
     fn name(&self) -> Box<str>;
 }
 
@@ -73,21 +73,21 @@
     }
 }
 
-/// The objects of a kind.
+/// All objects of one kind.
 #[derive(Debug)]
 pub struct Listing<T> {
-    /// What is understood.
+    /// The valid objects.
     pub objects: Vec<T>,
-    /// What is not: someone else's, or broken.
+    /// The invalid objects: malformed, or written by others.
     pub skipped: Vec<SkippedObject>,
 }
 
-/// An object of the store that can't be used.
+/// An invalid object of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SkippedObject {
-    /// Its name; empty if that can't be read.
+    /// Its name; empty if that is missing or malformed.
     pub name: Box<str>,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub reason: Box<str>,
 }
 
@@ -100,13 +100,13 @@
 #[derive(Serialize)]
 struct NewMetadata<'a> {
     name: &'a str,
-    /// The change is made only while this is the object's revision.
+    /// If given, the store refuses the write unless the object is still at this revision.
     #[serde(skip_serializing_if = "Option::is_none")]
     revision: Option<Revision>,
 }
 
 impl Store {
-    /// Lists the proxies that said where they are, this one included.
+    /// Lists the presence objects of all proxies, this one included.
     ///
     /// # Errors
     ///
@@ -115,7 +115,7 @@
         self.list(consistency).await
     }
 
-    /// Says where a proxy is. An object that is there already is replaced.
+    /// Writes the presence object of a proxy and replaces an earlier one.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
         self.put(presence).await
     }
 
-    /// Takes back where a proxy is.
+    /// Deletes the presence object of the proxy `name`; succeeds if there is none.
     ///
     /// # Errors
     ///
@@ -133,7 +133,7 @@
         self.remove::<PresenceObject>(name).await
     }
 
-    /// Lists the requests that are held back.
+    /// Lists the quarantined requests.
     ///
     /// # Errors
     ///
@@ -142,7 +142,7 @@
         self.list(consistency).await
     }
 
-    /// Says that a request is held back, unless that is said already.
+    /// Stores that a request is quarantined; leaves an object that exists unchanged.
     ///
     /// # Errors
     ///
@@ -152,12 +152,12 @@
         if status == StatusCode::CONFLICT { Ok(()) } else { check_status(status) }
     }
 
-    /// Begins a trial of a request that is held back, in the name of one proxy only: as long as the object there is of as
-    /// many trials as `known` is.
+    /// Claims the next trial of a quarantined request for this proxy by a compare-and-swap: succeeds only if the stored
+    /// object counts as many trials as `known`, or does not exist.
     ///
     /// # Errors
     ///
-    /// See [`StoreFailure`]; then the trial may count as begun, and must not be made.
+    /// See [`StoreFailure`]. The store may then have counted the trial; it must not be run.
     pub async fn claim_trial(&self, known: &QuarantineObject) -> Result<TrialClaim, StoreFailure> {
         let name = known.name();
         let path = format!("/objects/{}/{name}", QuarantineObject::KIND);
@@ -170,7 +170,7 @@
         if status != StatusCode::OK {
             return Err(StoreFailure::Refused(status.as_u16()));
         }
-        let text = text(&body);
+        let text = decode_text(&body);
         let object: Object<'_> = serde_json::from_str(&text)?;
         let stored: QuarantineObject = serde_json::from_str(object.spec.get())?;
         if stored.crash_record.trials() != known.crash_record.trials() {
@@ -181,7 +181,7 @@
         claim_result(status, next.crash_record, known.crash_record)
     }
 
-    /// Says that a request is no longer held back.
+    /// Deletes a request from the stored quarantine; succeeds if it is not there.
     ///
     /// # Errors
     ///
@@ -194,24 +194,24 @@
         let mut list = Listing { objects: Vec::new(), skipped: Vec::new() };
         let mut after: Option<Box<str>> = None;
         loop {
-            let from = after.as_ref().map_or_else(String::new, |it| format!("&after={it}"));
-            let path = format!("/objects/{}?{}{from}", T::KIND, consistency.query());
+            let after_param = after.as_ref().map_or_else(String::new, |it| format!("&after={it}"));
+            let path = format!("/objects/{}?{}{after_param}", T::KIND, consistency.query());
             let (status, body) = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
             if status != StatusCode::OK {
                 return Err(StoreFailure::Refused(status.as_u16()));
             }
-            let text = text(&body);
+            let text = decode_text(&body);
             let page: Page<'_> = serde_json::from_str(&text)?;
             let mut last = None;
             for it in &page.items {
                 match decode_object::<T>(it.get()) {
-                    Ok(it) => {
-                        last = Some(it.name());
-                        list.objects.push(it);
+                    Ok(object) => {
+                        last = Some(object.name());
+                        list.objects.push(object);
                     }
-                    Err(it) => {
-                        last = Some(it.name.clone()).filter(|it| !it.is_empty()).or(last);
-                        list.skipped.push(it);
+                    Err(skipped) => {
+                        last = Some(skipped.name.clone()).filter(|it| !it.is_empty()).or(last);
+                        list.skipped.push(skipped);
                     }
                 }
             }
@@ -233,8 +233,8 @@
     }
 
     async fn create<T: StoreObject>(&self, spec: &T) -> Result<StatusCode, StoreFailure> {
-        let kind = format!("/objects/{}", T::KIND);
-        Ok(self.call(Method::POST, &kind, encode(spec, None)?, CALL_TIMEOUT).await?.0)
+        let path = format!("/objects/{}", T::KIND);
+        Ok(self.call(Method::POST, &path, encode(spec, None)?, CALL_TIMEOUT).await?.0)
     }
 
     async fn remove<T: StoreObject>(&self, name: &str) -> Result<(), StoreFailure> {
@@ -244,7 +244,7 @@
     }
 }
 
-/// Encodes an object; a change is made only while `revision` is the object's, if that is given.
+/// Encodes an object for a write. With a `revision` the store refuses the write unless the object is still at it.
 fn encode<T: StoreObject>(spec: &T, revision: Option<Revision>) -> Result<Bytes, StoreFailure> {
     let object = NewObject { metadata: NewMetadata { name: &spec.name(), revision }, spec };
     Ok(Bytes::from(serde_json::to_vec(&object)?))
@@ -258,14 +258,14 @@
     }
 }
 
-/// Decodes an object, which must be under the name of what it tells of.
+/// Decodes an object; its `metadata` and its `spec` must give the same name.
 fn decode_object<T: StoreObject>(raw: &str) -> Result<T, SkippedObject> {
-    let skipped = |name: &str, why: String| SkippedObject { name: name.into(), reason: why.into() };
+    let skipped = |name: &str, reason: String| SkippedObject { name: name.into(), reason: reason.into() };
     let object: Object<'_> = serde_json::from_str(raw).map_err(|it| skipped("", it.to_string()))?;
     let name = &object.metadata.name;
     let spec: T = serde_json::from_str(object.spec.get()).map_err(|it| skipped(name, it.to_string()))?;
     if spec.name() != *name {
-        return Err(skipped(name, format!("it tells of `{}`", spec.name())));
+        return Err(skipped(name, format!("its spec gives the name `{}`", spec.name())));
     }
     Ok(spec)
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The calls of the platform's metadata store.
+//! Client of the platform's metadata store: reads and watches the configuration, and tracks the store's era.
 
 use std::{borrow::Cow, cell::Cell, net::SocketAddr, time::Duration};
 
@@ -17,66 +17,65 @@
 /// The kind and name of the operator's configuration.
 const CONFIG_KIND: &str = "config";
 const CONFIG_NAME: &str = "main";
-/// How long a call may take that isn't a watch: the platform answers in 4 ms, and up to 60 times slower when it is
-/// in trouble.
+/// Timeout of a call that isn't a watch; a degraded store responds up to 60 times slower than its usual 4 ms.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which history the store's revisions belong to; goes up by one each time it is restored from a backup.
+/// Counts the restores of the store from a backup. Revisions of different eras can't be compared.
 pub type Era = u64;
 
-/// The era, in all answers.
-const ERA: HeaderName = HeaderName::from_static("store-era");
+/// Header with the era, in all responses of the store.
+const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
 
-/// A revision of the store; goes up with each change of any object.
+/// A revision of the store; increases with each change of any object.
 pub(super) type Revision = u64;
 
-/// Why a call brought no result.
+/// Why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreFailure {
-    /// The store refused the call; nothing was done.
+    /// The store refused the call with this HTTP status; nothing was changed.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// No whole answer came; a write may have been done, or may be done later.
-    #[error("no answer: {0}")]
-    NoAnswer(#[from] CallError),
-    /// The answer can't be understood.
-    #[error("not understood: {0}")]
+    /// No complete response arrived; a write may have been applied, or may be applied later.
+    #[error("no response: {0}")]
+    NoResponse(#[from] CallError),
+    /// The body of the response is invalid.
+    #[error("malformed response: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// The configuration with the store's revision at which it was read.
+/// A configuration, and the store's revision at which it was read.
 #[derive(Debug)]
 pub struct ConfigSnapshot {
-    /// The configuration, or why it can't be used; `None` before the operator's first.
+    /// The configuration, or why it is invalid; `None` if there is none, or if a watch saw no change.
     pub config: Option<Result<ParsedConfig, serde_json::Error>>,
-    /// Where a watch goes on.
+    /// Where the next watch continues.
     pub position: WatchPosition,
 }
 
-/// A revision, which means something in its era only.
+/// A revision and the era in which it is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPosition {
-    /// The revision.
+    /// The last revision that was seen.
     pub revision: u64,
-    /// Its era.
+    /// The era of that revision.
     pub era: Era,
 }
 
 /// How a watch ended.
 #[derive(Debug)]
 pub enum WatchEnd {
-    /// Time passed, or the configuration changed.
+    /// The wait is over or the configuration changed.
     Completed(ConfigSnapshot),
-    /// The history is gone: read anew.
+    /// The store no longer has the history since the position; the configuration must be read again.
     HistoryGone,
 }
 
-/// How new what is read must be.
+/// How current the result of a read must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// As new as all that was acknowledged.
+    /// Includes every acknowledged write.
     Linearizable,
-    /// Some seconds old perhaps, at a tenth of the price.
+    /// May be some seconds old; costs the store a tenth of a linearizable read.
     Stale,
 }
 
@@ -89,24 +88,24 @@
     }
 }
 
-/// The store, at its address.
+/// A client of the platform's metadata store.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
-    /// The newest that anyone heard of; `None` before the first answer.
+    /// The newest era seen by this process or its peers; `None` before the first response.
     era: Cell<Option<Era>>,
-    /// The store was restored from a backup.
+    /// Notified when the store has been restored from a backup.
     restored: Notify,
 }
 
-/// A part of a listing. Each item is decoded by itself: other writers' objects must not hide ours.
+/// One page of a listing. Items are decoded one by one, so that a malformed object of another writer doesn't hide the rest.
 #[derive(Deserialize)]
 pub(super) struct Page<'a> {
     #[serde(borrow)]
     pub(super) items: Vec<&'a RawValue>,
     #[serde(default)]
     pub(super) has_more: bool,
-    /// The store's revision at which it was listed.
+    /// The store's revision at the time of the listing.
     at_rev: Revision,
 }
 
@@ -120,38 +119,38 @@
 #[derive(Deserialize)]
 pub(super) struct Metadata {
     pub(super) name: Box<str>,
-    /// Of the object's last change.
+    /// The revision of the object's last change.
     #[serde(default)]
     pub(super) revision: Revision,
 }
 
 #[derive(Deserialize)]
-struct Events<'a> {
+struct WatchResponse<'a> {
     #[serde(borrow)]
     events: Vec<&'a RawValue>,
-    /// Where the next watch goes on.
+    /// The revision from which the next watch continues.
     at_rev: Revision,
 }
 
 #[derive(Deserialize)]
-struct Event<'a> {
+struct WatchEvent<'a> {
     #[serde(borrow)]
     object: Object<'a>,
     is_deleted: bool,
 }
 
 impl Store {
-    /// The store at `address`.
+    /// Creates a client of the store at `address`; opens no connection.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, era: Cell::new(None), restored: Notify::new() }
     }
 
-    /// The newest era that anyone heard of.
+    /// Returns the newest era seen by this process or its peers.
     pub fn era(&self) -> Option<Era> {
         self.era.get()
     }
 
-    /// Takes in an era that this process or another heard of.
+    /// Records an era seen by this process or a peer. One that is newer than the last wakes [`Store::wait_for_restore`].
     pub fn note_era(&self, era: Era) {
         let before = self.era.get();
         self.era.set(before.max(Some(era)));
@@ -160,18 +159,18 @@
         }
     }
 
-    /// Waits until the store has been restored from a backup: what was written since that may be gone.
+    /// Waits until the store has been restored from a backup; writes since that backup may be lost.
     pub async fn wait_for_restore(&self) {
         self.restored.notified().await;
     }
 
-    /// A position at the revision of an answer that has just come.
+    /// Returns the position at `revision` in the current era.
     fn position(&self, revision: Revision) -> WatchPosition {
         WatchPosition { revision, era: self.era.get().unwrap_or_default() }
     }
 
-    /// Reads the configuration. Listing its kind tells the store's revision, from which a watch can
-    /// go on; the object's own revision may be older than the history that the store keeps.
+    /// Reads the configuration by a listing of its kind, which gives the store's revision as the start of a watch. The
+    /// object's own revision may be older than the history that the store keeps.
     ///
     /// # Errors
     ///
@@ -182,15 +181,15 @@
         if status != StatusCode::OK {
             return Err(StoreFailure::Refused(status.as_u16()));
         }
-        let text = text(&body);
+        let text = decode_text(&body);
         let page: Page<'_> = serde_json::from_str(&text)?;
         let mut objects = page.items.iter().filter_map(|it| serde_json::from_str::<Object<'_>>(it.get()).ok());
-        let ours = objects.find(|it| &*it.metadata.name == CONFIG_NAME);
-        Ok(ConfigSnapshot { config: ours.map(|it| parse_config(it.spec.get())), position: self.position(page.at_rev) })
+        let main = objects.find(|it| &*it.metadata.name == CONFIG_NAME);
+        Ok(ConfigSnapshot { config: main.map(|it| parse_config(it.spec.get())), position: self.position(page.at_rev) })
     }
 
-    /// Waits for the configuration to change after `from`. If the store was restored from a backup meanwhile, its history is
-    /// another one: revisions are given out again, and some changes may stand before `from`.
+    /// Waits for the configuration to change after `from`. Returns [`WatchEnd::HistoryGone`] if the store was restored from
+    /// a backup meanwhile: it assigns revisions again, so changes may have revisions before `from`.
     ///
     /// # Errors
     ///
@@ -204,15 +203,15 @@
         match status {
             StatusCode::OK => (),
             StatusCode::GONE => return Ok(WatchEnd::HistoryGone),
-            it => return Err(StoreFailure::Refused(it.as_u16())),
+            status => return Err(StoreFailure::Refused(status.as_u16())),
         }
-        let text = text(&body);
-        let events: Events<'_> = serde_json::from_str(&text)?;
-        let decoded = events.events.iter().filter_map(|it| serde_json::from_str::<Event<'_>>(it.get()).ok());
-        let ours = |it: &Event<'_>| !it.is_deleted && &*it.object.metadata.name == CONFIG_NAME;
-        let newest = decoded.rev().find(ours);
+        let text = decode_text(&body);
+        let resp: WatchResponse<'_> = serde_json::from_str(&text)?;
+        let events = resp.events.iter().filter_map(|it| serde_json::from_str::<WatchEvent<'_>>(it.get()).ok());
+        let is_main = |it: &WatchEvent<'_>| !it.is_deleted && &*it.object.metadata.name == CONFIG_NAME;
+        let newest = events.rev().find(is_main);
         let config = newest.map(|it| parse_config(it.object.spec.get()));
-        Ok(WatchEnd::Completed(ConfigSnapshot { config, position: self.position(events.at_rev) }))
+        Ok(WatchEnd::Completed(ConfigSnapshot { config, position: self.position(resp.at_rev) }))
     }
 
     pub(super) async fn call(
@@ -220,19 +219,19 @@
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), StoreFailure> {
         metrics::counter!("jayreach_store_calls_total").increment(1);
-        let resp = proxy::call(self.address, method, path, body, limit).await?;
-        let era = resp.headers().get(ERA).and_then(|it| it.to_str().ok()).and_then(|it| it.parse().ok());
-        if let Some(it) = era {
-            self.note_era(it);
+        let resp = proxy::call(self.address, method, path, body, timeout).await?;
+        let era = resp.headers().get(STORE_ERA).and_then(|it| it.to_str().ok()).and_then(|it| it.parse().ok());
+        if let Some(era) = era {
+            self.note_era(era);
         }
         Ok((resp.status(), resp.into_body()))
     }
 }
 
-/// The text of an answer. Bytes that are no text spoil the object that they stand in, not the others.
-pub(super) fn text(body: &[u8]) -> Cow<'_, str> {
+/// Decodes a response as UTF-8. Invalid bytes are replaced, so that they affect only the object that contains them.
+pub(super) fn decode_text(body: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(body)
 }
