--- a/tests/check_config.rs
+++ b/tests/check_config.rs
@@ -1,4 +1,4 @@
-//! `jayreach check --config`: what proxies will make of an operator's configuration.
+//! `jayreach check --config`: reports invalid parts of an operator's configuration with their file and line.
 
 use std::{fs, process::Command};
 
@@ -9,6 +9,7 @@
 "read":{"host":"a","path_prefix":"/r/","kind":"idempotent","timeout_s":2,"target_latency_s":1,"priority":1,"service":"s","max_attempts":2},
 "write":{"host":"a","path_prefix":"/w/","kind":"non_idempotent","timeout_s":2,"target_latency_s":1,"priority":0,"service":"s","max_attempts":1}}}"#;
 
+/// Runs the check on a file with `text`; returns the exit code and the output.
 fn check(name: &str, text: &str) -> (Option<i32>, String) {
     let file = std::env::temp_dir().join(format!("jayreach-check-{}-{name}.json", std::process::id()));
     fs::write(&file, text).expect("a file");
@@ -19,11 +20,11 @@
 }
 
 #[test]
-fn a_good_configuration_has_no_findings() {
-    let (code, told) = check("good", CONFIG);
+fn valid_configuration_has_no_findings() {
+    let (code, output) = check("good", CONFIG);
 
     assert_eq!(code, Some(0));
-    assert!(told.contains("version 28, 2 routes"), "{told}");
+    assert!(output.contains("version 28, 2 routes"), "{output}");
 }
 
 #[rstest]
@@ -34,9 +35,9 @@
     ":3:1: routes.read: its callers are refused"
 )]
 #[case::broken("\"routes\":{", "\"routes\":[", ": no configuration: ")]
-fn findings_come_with_their_place(#[case] from: &str, #[case] to: &str, #[case] wanted: &str) {
-    let (code, told) = check(&wanted.replace(|it: char| !it.is_alphanumeric(), ""), &CONFIG.replacen(from, to, 1));
+fn findings_are_reported_with_their_place(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let (code, output) = check(&expected.replace(|it: char| !it.is_alphanumeric(), ""), &CONFIG.replacen(from, to, 1));
 
     assert_eq!(code, Some(2));
-    assert!(told.contains(wanted), "{told}");
+    assert!(output.contains(expected), "{output}");
 }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: names and formats of the users' platform, and the settings its template makes.
+//! Decoding of the platform's configuration, announcements and headers, and the settings from its deployment template.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Some moment, in Unix milliseconds.
+/// Time of arrival of announcements, in Unix milliseconds.
 const NOW: u64 = 1_764_700_001_000;
 
 const CONFIG: &str = r#"{"version":"0000001c","routes":{
@@ -26,20 +26,20 @@
   "limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout_s":3,"idle_timeout_s":15},
   "base_version":"0000001a"}"#;
 
-fn config() -> Config {
-    parse_config(CONFIG).expect("it is a configuration").config
+fn parsed_config() -> Config {
+    parse_config(CONFIG).expect("valid configuration").config
 }
 
 #[test]
-fn a_configuration_is_decoded() {
-    let config = config();
+fn valid_configuration_is_decoded() {
+    let config = parsed_config();
 
     assert_eq!(config.version, 0x1c);
     assert_eq!(config.limits.body_bytes, 1000);
-    let deep = config.route("desk.example", "/a/b/c").expect("a route");
+    let deep = config.route("desk.example", "/a/b/c").expect("route exists");
     assert_eq!((&*deep.name, deep.idempotency, deep.rank), ("deep", Idempotency::NonIdempotent, 0));
     assert_eq!((deep.timeout, deep.target_latency), (Duration::from_millis(2_500), Duration::from_millis(800)));
-    let wide = config.route("desk.example", "/a/c").expect("a route");
+    let wide = config.route("desk.example", "/a/c").expect("route exists");
     assert_eq!((wide.idempotency, wide.clusters.len(), wide.max_attempts), (Idempotency::Idempotent, 2, 3));
 }
 
@@ -52,70 +52,74 @@
 #[case("desk.example", "/", None)]
 #[case("desk.example", "", None)]
 #[case("other.example", "/a/b/", None)]
-fn the_longest_prefix_of_the_host_wins(#[case] host: &str, #[case] path: &str, #[case] wanted: Option<&str>) {
-    let config = config();
+fn route_with_longest_matching_prefix_is_chosen(
+    #[case] host: &str,
+    #[case] path: &str,
+    #[case] expected: Option<&str>,
+) {
+    let config = parsed_config();
 
-    let found = config.route(host, path).map(|it| &*it.name);
+    let route = config.route(host, path).map(|it| &*it.name);
 
-    assert_eq!(found, wanted);
+    assert_eq!(route, expected);
 }
 
 #[rstest]
 #[case("0000001c", "zz")]
 #[case("\"routes\"", "\"paths\"")]
 #[case("\"routes\":{", "\"routes\":3,\"r\":{")]
-fn what_is_no_configuration_is_refused(#[case] from: &str, #[case] to: &str) {
+fn configuration_without_valid_version_or_routes_is_rejected(#[case] from: &str, #[case] to: &str) {
     let text = CONFIG.replacen(from, to, 1);
 
     assert!(parse_config(&text).is_err());
 }
 
 #[test]
-fn large_answers_are_idempotent_work() {
+fn download_routes_are_idempotent() {
     let text = CONFIG.replacen("\"kind\":\"idempotent\"", "\"kind\":\"download\"", 1);
 
-    let parsed = parse_config(&text).expect("it is a configuration");
+    let parsed = parse_config(&text).expect("valid configuration");
 
     assert_eq!(parsed.findings, []);
     assert_eq!(parsed.config.route("desk.example", "/a/c").map(|it| it.idempotency), Some(Idempotency::Idempotent));
 }
 
 #[test]
-fn work_of_an_unknown_kind_is_not_repeated() {
+fn routes_of_unknown_kind_are_non_idempotent() {
     let text = CONFIG.replacen("\"kind\":\"idempotent\"", "\"kind\":\"twice\"", 1);
 
-    let parsed = parse_config(&text).expect("it is a configuration");
+    let parsed = parse_config(&text).expect("valid configuration");
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), ["routes.wide.kind"]);
-    let wide = parsed.config.route("desk.example", "/a/c").expect("a route");
+    let wide = parsed.config.route("desk.example", "/a/c").expect("route exists");
     assert_eq!((wide.idempotency, wide.is_valid()), (Idempotency::NonIdempotent, true));
 }
 
 #[rstest]
 #[case::no_service("\"service\":\"ledger\",", "")]
-#[case::a_negative_time("2.5,", "-1,")]
-#[case::text_for_a_number("\"priority\":0", "\"priority\":\"high\"")]
-#[case::no_attempts("\"service\":\"ledger\",\"max_attempts\":2", "\"service\":\"ledger\"")]
-#[case::a_negative_weight("\"service\":\"ledger\"", "\"weighted_clusters\":[{\"service\":\"x\",\"weight\":-1}]")]
-fn a_route_that_is_not_understood_refuses_its_callers_alone(#[case] from: &str, #[case] to: &str) {
+#[case::negative_timeout("2.5,", "-1,")]
+#[case::string_for_number("\"priority\":0", "\"priority\":\"high\"")]
+#[case::no_max_attempts("\"service\":\"ledger\",\"max_attempts\":2", "\"service\":\"ledger\"")]
+#[case::negative_weight("\"service\":\"ledger\"", "\"weighted_clusters\":[{\"service\":\"x\",\"weight\":-1}]")]
+fn invalid_route_is_refused_and_other_routes_apply(#[case] from: &str, #[case] to: &str) {
     let text = CONFIG.replacen(from, to, 1);
 
-    let parsed = parse_config(&text).expect("it is a configuration");
+    let parsed = parse_config(&text).expect("valid configuration");
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), ["routes.deep"]);
-    let understood = |path| parsed.config.route("desk.example", path).map(|it| (&*it.name, it.is_valid()));
-    assert_eq!(understood("/a/b/c"), Some(("deep", false)));
-    assert_eq!(understood("/a/c"), Some(("wide", true)));
+    let validity = |path| parsed.config.route("desk.example", path).map(|it| (&*it.name, it.is_valid()));
+    assert_eq!(validity("/a/b/c"), Some(("deep", false)));
+    assert_eq!(validity("/a/c"), Some(("wide", true)));
 }
 
 #[rstest]
-#[case::no_place("\"host\":\"Desk.example\",", "", "routes.deep")]
-#[case::not_a_table("\"deep\":{", "\"deep\":7,\"other\":{", "routes.deep")]
-#[case::bad_limits("\"idle_timeout_s\":15", "\"idle_timeout_s\":[]", "limits")]
-fn a_part_that_is_not_understood_leaves_the_rest_in_force(#[case] from: &str, #[case] to: &str, #[case] place: &str) {
+#[case::no_host("\"host\":\"Desk.example\",", "", "routes.deep")]
+#[case::route_is_no_object("\"deep\":{", "\"deep\":7,\"other\":{", "routes.deep")]
+#[case::invalid_limits("\"idle_timeout_s\":15", "\"idle_timeout_s\":[]", "limits")]
+fn invalid_part_does_not_invalidate_the_rest(#[case] from: &str, #[case] to: &str, #[case] place: &str) {
     let text = CONFIG.replacen(from, to, 1);
 
-    let parsed = parse_config(&text).expect("it is a configuration");
+    let parsed = parse_config(&text).expect("valid configuration");
 
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), [place]);
     assert!(parsed.config.route("desk.example", "/a/c").is_some_and(|it| &*it.name == "wide" && it.is_valid()));
@@ -127,55 +131,55 @@
 #[case("GET", "/instances/i-1/heartbeat", None)]
 #[case("POST", "/instances//heartbeat", None)]
 #[case("POST", "/other", None)]
-fn announcements_are_told_by_their_path(
+fn announcements_are_recognised_by_method_and_path(
     #[case] method: Method,
     #[case] path: &str,
-    #[case] wanted: Option<AnnounceCall>,
+    #[case] expected: Option<AnnounceCall>,
 ) {
-    assert_eq!(announce_call(&method, path), wanted);
+    assert_eq!(announce_call(&method, path), expected);
 }
 
 #[test]
-fn a_heartbeat_is_decoded() {
+fn valid_heartbeat_is_decoded() {
     let body = br#"{"service":"s","address":"10.0.0.9:8080","zone":"z","version":"v1","slots":4,"state":"draining",
         "warmup_left_s":1.5,"sequence":9,"born":1764700000000}"#;
 
-    let it = parse_heartbeat("i-1", body, NOW).expect("it is a heartbeat");
+    let heartbeat = parse_heartbeat("i-1", body, NOW).expect("valid heartbeat");
 
-    assert_eq!((&*it.id.name, it.id.started_at), ("i-1", Some(1_764_700_000_000)));
-    assert_eq!((&*it.service, it.slots, it.sequence), ("s", 4, 9));
-    assert_eq!((it.phase, it.warmup_left), (EndpointPhase::Leaving, Duration::from_millis(1_500)));
+    assert_eq!((&*heartbeat.id.name, heartbeat.id.started_at), ("i-1", Some(1_764_700_000_000)));
+    assert_eq!((&*heartbeat.service, heartbeat.slots, heartbeat.sequence), ("s", 4, 9));
+    assert_eq!((heartbeat.phase, heartbeat.warmup_left), (EndpointPhase::Leaving, Duration::from_millis(1_500)));
 }
 
 #[rstest]
 #[case::absent("")]
-#[case::a_fraction(",\"born\":1764700000000.5")]
-#[case::text(",\"born\":\"1764700000000\"")]
-#[case::below_zero(",\"born\":-1")]
-#[case::nothing(",\"born\":null")]
-#[case::a_table(",\"born\":{}")]
-#[case::in_the_far_future(",\"born\":1864700000000")]
-fn a_start_that_is_no_start_counts_as_absent(#[case] born: &str) {
+#[case::fraction(",\"born\":1764700000000.5")]
+#[case::string(",\"born\":\"1764700000000\"")]
+#[case::negative(",\"born\":-1")]
+#[case::null(",\"born\":null")]
+#[case::object(",\"born\":{}")]
+#[case::far_future(",\"born\":1864700000000")]
+fn invalid_start_time_counts_as_absent(#[case] born: &str) {
     let body = format!(
         "{{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":4,\"state\":\"ready\",\"sequence\":9{born}}}"
     );
 
-    let it = parse_heartbeat("i-1", body.as_bytes(), NOW).expect("it is a heartbeat");
+    let heartbeat = parse_heartbeat("i-1", body.as_bytes(), NOW).expect("valid heartbeat");
 
-    assert_eq!(it.id.started_at, None);
-    let gone = parse_deregistration("i-1", format!("{{\"other\":1{born}}}").as_bytes(), NOW);
-    assert_eq!(gone.started_at, None);
+    assert_eq!(heartbeat.id.started_at, None);
+    let deregistered = parse_deregistration("i-1", format!("{{\"other\":1{born}}}").as_bytes(), NOW);
+    assert_eq!(deregistered.started_at, None);
 }
 
 #[rstest]
 #[case::no_service("\"service\":\"s\",", "")]
-#[case::a_number_for_a_service("\"s\"", "7")]
-#[case::an_unknown_state("ready", "resting")]
+#[case::number_for_service("\"s\"", "7")]
+#[case::unknown_state("ready", "resting")]
 #[case::no_sequence(",\"sequence\":9", "")]
-#[case::a_fraction_of_a_slot("4", "4.5")]
-#[case::a_name_for_an_address("10.0.0.9:8080", "desk")]
-#[case::half_of_it(",\"slots\":4,\"state\":\"ready\",\"sequence\":9}", "")]
-fn what_is_no_heartbeat_is_refused(#[case] from: &str, #[case] to: &str) {
+#[case::fractional_slots("4", "4.5")]
+#[case::name_for_address("10.0.0.9:8080", "desk")]
+#[case::truncated(",\"slots\":4,\"state\":\"ready\",\"sequence\":9}", "")]
+fn invalid_heartbeat_is_rejected(#[case] from: &str, #[case] to: &str) {
     let body = "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":4,\"state\":\"ready\",\"sequence\":9}";
 
     assert!(parse_heartbeat("i-1", body.as_bytes(), NOW).is_ok());
@@ -183,7 +187,7 @@
     assert!(parse_heartbeat("i-1", b"\xff\xfe", NOW).is_err());
 }
 
-/// What becomes of the `services` of a configuration: the health path of `x`, and the places of findings.
+/// Each case gives `services` of a configuration, the health path of `x`, and the places of the findings.
 #[rstest]
 #[case(r#"{"x":{"health_path":"/live?deep=1","tls":false}}"#, Some("/live?deep=1"), &[])]
 #[case(r#"{"x":{"health_path":"/health"}}"#, None, &[])]
@@ -196,43 +200,43 @@
 fn health_paths_are_decoded(#[case] services: &str, #[case] path: Option<&str>, #[case] places: &[&str]) {
     let spec = CONFIG.replace(r#"{"x":{"health_path":"/health"}}"#, services);
 
-    let parsed = parse_config(&spec).expect("it is a configuration");
+    let parsed = parse_config(&spec).expect("valid configuration");
 
     assert_eq!(parsed.config.health_path("x"), path);
     assert_eq!(parsed.findings.iter().map(|it| &*it.place).collect::<Vec<_>>(), places);
-    assert_eq!(parsed.config.routes().len(), 2, "the routes are in force whatever the services say");
+    assert_eq!(parsed.config.routes().len(), 2, "invalid services do not affect the routes");
 }
 
 #[test]
-fn a_configuration_from_a_proxy_of_an_earlier_release_has_the_usual_health_paths() {
-    let config = config();
+fn configuration_from_earlier_release_has_default_health_paths() {
+    let config = parsed_config();
     let without_health_paths = (config.version, config.routes(), config.limits);
 
-    let bytes = rmp_serde::to_vec(&without_health_paths).expect("messages can be coded");
+    let bytes = rmp_serde::to_vec(&without_health_paths).expect("encodable message");
 
-    assert_eq!(rmp_serde::from_slice::<Config>(&bytes).expect("it is understood"), config);
+    assert_eq!(rmp_serde::from_slice::<Config>(&bytes).expect("decodable configuration"), config);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever bytes come, and wherever good ones are spoilt, decoders give findings and never panic.
+    /// Decoders don't panic on arbitrary bytes, nor on a valid configuration with one byte changed.
     #[test]
-    fn decoders_bear_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..2_000, byte in any::<u8>()) {
-        let mut spoilt = CONFIG.as_bytes().to_vec();
-        let at = at % spoilt.len();
-        spoilt[at] = byte;
+    fn decoders_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..2_000, byte in any::<u8>()) {
+        let mut corrupted = CONFIG.as_bytes().to_vec();
+        let at = at % corrupted.len();
+        corrupted[at] = byte;
         _ = parse_heartbeat("i-1", &bytes, NOW);
         _ = parse_deregistration("i-1", &bytes, NOW);
         _ = parse_config(&String::from_utf8_lossy(&bytes));
-        if let Ok(it) = parse_config(&String::from_utf8_lossy(&spoilt)) {
-            prop_assert!(it.config.routes().len() <= 2);
+        if let Ok(parsed) = parse_config(&String::from_utf8_lossy(&corrupted)) {
+            prop_assert!(parsed.config.routes().len() <= 2);
         }
     }
 }
 
 #[test]
-fn headers_are_read_and_written() {
+fn headers_are_set_and_read() {
     let mut headers = HeaderMap::new();
     headers.insert("x-server-load", "3,1,8".parse().expect("a value"));
     headers.insert("x-caller-service", "forged".parse().expect("a value"));
@@ -248,7 +252,7 @@
     assert_eq!(platform::retry_after(Duration::from_millis(1_250)).1, "1.25");
 }
 
-/// The template as the platform fills it in.
+/// Returns the deployment template with its fields filled in as the platform does.
 fn filled_template() -> String {
     let mut text = include_str!("../deploy/proxy.toml.template").to_owned();
     for (field, value) in [
@@ -270,13 +274,13 @@
         assert!(text.contains(field), "{field}");
         text = text.replace(field, value);
     }
-    assert!(!text.contains("{{"), "every field is known here: {text}");
+    assert!(!text.contains("{{"), "template field without a value: {text}");
     text
 }
 
 #[test]
-fn the_template_makes_good_settings() {
-    let settings = Settings::parse("boot.toml", &filled_template()).expect("good settings");
+fn deployment_template_gives_valid_settings() {
+    let settings = Settings::parse("boot.toml", &filled_template()).expect("valid settings");
 
     assert_eq!((&*settings.name, &*settings.data_centre), ("sidecar-a-1", "a"));
     assert_eq!(settings.callers.to_string(), "10.1.0.8:8304");
@@ -285,19 +289,19 @@
 }
 
 #[test]
-fn a_proxy_may_be_reached_at_another_address() {
+fn advertised_address_can_differ_from_listen_address() {
     let text = filled_template() + "advertised = \"192.0.2.7:7101\"\n";
 
-    let settings = Settings::parse("boot.toml", &text).expect("good settings");
+    let settings = Settings::parse("boot.toml", &text).expect("valid settings");
 
     assert_eq!(settings.advertised.to_string(), "192.0.2.7:7101");
 }
 
 #[test]
-fn all_findings_of_settings_come_at_once_with_their_places() {
+fn all_invalid_settings_are_reported_with_their_places() {
     let text = filled_template().replace("grace_s = 6", "grace_s = \"long\"").replace("name = \"sidecar-a-1\"\n", "");
 
-    let findings = Settings::parse("boot.toml", &text).expect_err("it has findings");
+    let findings = Settings::parse("boot.toml", &text).expect_err("invalid settings");
 
     let list: Vec<String> = findings.as_slice().iter().map(|it| format!("{}: {}", it.place, it.message)).collect();
     assert_eq!(list.len(), 2, "{list:?}");
