--- a/standins/src/platform/soak/faults.rs
+++ b/standins/src/platform/soak/faults.rs
@@ -15,7 +15,7 @@
         site::{Relays, Site},
         store::StoreMode,
     },
-    relay::{Relay, Weather},
+    relay::{Impairment, Relay},
 };
 
 /// The pause between the beginnings of faults, in milliseconds.
@@ -68,7 +68,7 @@
     /// A new configuration.
     Change,
     /// The weather between two ends.
-    Weather(Side, Weather),
+    Weather(Side, Impairment),
     /// Open connections go silent for good.
     Silence(Side),
     /// Open connections are reset.
@@ -103,8 +103,8 @@
             11 => Self::Compact,
             12 => Self::Change,
             13 => {
-                let delay = Weather::Delayed(Duration::from_millis(rng.random_range(5..300)));
-                let weathers = [delay, Weather::CutTo, Weather::CutFrom];
+                let delay = Impairment::Delayed(Duration::from_millis(rng.random_range(5..300)));
+                let weathers = [delay, Impairment::CutTo, Impairment::CutFrom];
                 Self::Weather(side, *weathers.choose(rng).expect("there are some"))
             }
             14 => Self::Silence(side),
@@ -271,9 +271,9 @@
                 self.version += 1;
                 self.site.store.put_config(configuration(self.version));
             }
-            Fault::Weather(side, weather) => side.of(&proxy.relays).set(weather),
-            Fault::Silence(side) => side.of(&proxy.relays).forget_open(),
-            Fault::Reset(side) => side.of(&proxy.relays).reset_open(),
+            Fault::Weather(side, weather) => side.of(&proxy.relays).set_impairment(weather),
+            Fault::Silence(side) => side.of(&proxy.relays).silence_open_connections(),
+            Fault::Reset(side) => side.of(&proxy.relays).reset_open_connections(),
         }
         if matches!(fault, Fault::Kill | Fault::Pause) {
             self.disturbed.push(Disturbed { proxy: at, from: now, to: now + GRACE });
@@ -294,7 +294,7 @@
             Fault::Endpoint(_) => proxy.endpoint.set_mode(EndpointMode::Good),
             Fault::Leave => self.replace(at),
             Fault::Store(_) => self.site.store.set_mode(StoreMode::Good),
-            Fault::Weather(side, _) => side.of(&proxy.relays).set(Weather::Fair),
+            Fault::Weather(side, _) => side.of(&proxy.relays).set_impairment(Impairment::None),
             Fault::Reload | Fault::Replace | Fault::Compact | Fault::Change | Fault::Silence(_) | Fault::Reset(_) => (),
         }
         if let Some(proxy) = fault.troubles(at)
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -21,10 +21,10 @@
 
 /// What a relay does to what passes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Weather {
+pub enum Impairment {
     /// Nothing.
     #[default]
-    Fair,
+    None,
     /// Each piece comes later by this.
     Delayed(Duration),
     /// Nothing reaches the target; it comes when the weather changes.
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    weather: Mutex<Weather>,
+    impairment: Mutex<Impairment>,
     /// Connections of earlier ages than this are silent.
     age: AtomicU64,
     /// Connections from before the last of these are reset.
@@ -81,17 +81,17 @@
     }
 
     /// Changes what happens to all connections, open and new.
-    pub fn set(&self, weather: Weather) {
-        *self.shared.weather.lock().unwrap_or_else(PoisonError::into_inner) = weather;
+    pub fn set_impairment(&self, impairment: Impairment) {
+        *self.shared.impairment.lock().unwrap_or_else(PoisonError::into_inner) = impairment;
     }
 
     /// Loses track of all open connections: nothing passes any more, and nobody is told.
-    pub fn forget_open(&self) {
+    pub fn silence_open_connections(&self) {
         self.shared.age.fetch_add(1, Ordering::AcqRel);
     }
 
     /// Resets all open connections.
-    pub fn reset_open(&self) {
+    pub fn reset_open_connections(&self) {
         self.shared.resets.fetch_add(1, Ordering::AcqRel);
     }
 }
@@ -129,7 +129,7 @@
                 }
                 continue;
             }
-            self.weather();
+            self.wait_for_impairment();
             if self.is_forgotten() {
                 continue;
             }
@@ -149,16 +149,16 @@
     }
 
     /// Waits as long as the weather holds this way up.
-    fn weather(&self) {
+    fn wait_for_impairment(&self) {
         loop {
-            let weather = *self.shared.weather.lock().unwrap_or_else(PoisonError::into_inner);
-            match (weather, self.way) {
-                (Weather::Delayed(it), _) => {
+            let impairment = *self.shared.impairment.lock().unwrap_or_else(PoisonError::into_inner);
+            match (impairment, self.way) {
+                (Impairment::Delayed(it), _) => {
                     thread::sleep(it);
                     return;
                 }
-                (Weather::CutTo, Way::To) | (Weather::CutFrom, Way::From) => thread::sleep(LOOK),
-                (Weather::Fair, _) | (Weather::CutTo, Way::From) | (Weather::CutFrom, Way::To) => return,
+                (Impairment::CutTo, Way::To) | (Impairment::CutFrom, Way::From) => thread::sleep(LOOK),
+                (Impairment::None, _) | (Impairment::CutTo, Way::From) | (Impairment::CutFrom, Way::To) => return,
             }
             if self.is_reset() || self.is_forgotten() {
                 return;
--- a/standins/tests/late_configuration.rs
+++ b/standins/tests/late_configuration.rs
@@ -20,7 +20,7 @@
         desk::{WORK, two_routes},
         site::{Proxy, Relays, Site, eventually},
     },
-    relay::{Relay, Weather},
+    relay::{Impairment, Relay},
 };
 
 /// In how many seconds a change must be in force once the store has accepted it.
@@ -65,12 +65,12 @@
 }
 
 fn forget_store(relays: &Relays) {
-    relays.store.forget_open();
+    relays.store.silence_open_connections();
 }
 
 fn forget_store_and_peers(relays: &Relays) {
-    relays.store.forget_open();
-    relays.peers.forget_open();
+    relays.store.silence_open_connections();
+    relays.peers.silence_open_connections();
 }
 
 #[rstest]
@@ -107,8 +107,8 @@
     let (cut, others): (Vec<&Proxy>, Vec<&Proxy>) = site.proxies.iter().partition(watches);
 
     for it in cut.iter().filter_map(|it| it.relays.as_ref()) {
-        it.store.set(Weather::CutTo);
-        it.store.forget_open();
+        it.store.set_impairment(Impairment::CutTo);
+        it.store.silence_open_connections();
     }
     thread::sleep(CHANGED_AFTER);
     let accepted = now();
@@ -140,7 +140,7 @@
     let changed = std::env::temp_dir().join(format!("jayreach-late-{}.toml", std::process::id()));
     std::fs::write(&changed, targets.replace("importance = 30", "importance = 20")).expect("a file");
 
-    relay.forget_open();
+    relay.silence_open_connections();
     let begun = Instant::now();
     // It waits until the change is in force.
     let applied = fleet.apply(&changed);
--- a/standins/tests/silence.rs
+++ b/standins/tests/silence.rs
@@ -79,7 +79,7 @@
     });
     assert!(warm.iter().all(|it| *it == 200), "{warm:?}");
 
-    relays.iter().for_each(Relay::forget_open);
+    relays.iter().for_each(Relay::silence_open_connections);
     let charged = charge(caller, "charge-1");
     let looked_up: Vec<_> = (0..4).map(|it| lookup(caller, &format!("after-{it}"))).collect();
 
