--- a/standins/src/bench.rs
+++ b/standins/src/bench.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     deployment::repository_file,
-    fleet::{EndpointShape, Fleet, TOKEN},
+    fleet::{EndpointProfile, Fleet, TOKEN},
     proc::{Usage, usage},
 };
 
@@ -35,9 +35,9 @@
     let mut fleet = Fleet::start()?;
     fleet.add_daemon("dc-1")?;
     fleet.add_daemon("dc-1")?;
-    let shape = EndpointShape { slots: 64, service_ms: 0, cold_start_ms: 0 };
+    let profile = EndpointProfile { slots: 64, service_ms: 0, cold_start_ms: 0 };
     for service in ["portal", "billing", "vouchers"] {
-        fleet.add_endpoint(service, 1, shape)?;
+        fleet.add_endpoint(service, 1, profile)?;
     }
     fleet.apply(&repository_file("samples/prairie.toml"))?;
     fleet.wait_for_endpoints(3)?;
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -38,7 +38,7 @@
         thread::sleep(BREAK_AFTER);
         println!("   after {} s, {broken} answers its health checks and fails all real work", BREAK_AFTER.as_secs());
         let fault = EndpointFault { errors: 1.0, ..EndpointFault::default() };
-        let broke = fleet.control(broken, &fault);
+        let broke = fleet.set_fault(broken, &fault);
         let history = running.join().expect("the load does not panic");
         broke.map(|()| history)
     })?;
@@ -47,7 +47,7 @@
         Some(it) => println!("   last error {:.1} s after the break", (it.saturating_sub(BREAK_AFTER)).as_secs_f64()),
         None => println!("   no caller saw an error"),
     }
-    let verdict = history::check(&load.mix, &history, &fleet.runs()?);
+    let verdict = history::check(&load.mix, &history, &fleet.read_run_logs()?);
     println!("   {verdict}");
     fleet.close();
     Ok(verdict.passed())
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    fleet::{EndpointShape, Fleet},
+    fleet::{EndpointProfile, Fleet},
     load::RequestClass,
 };
 
@@ -23,7 +23,7 @@
     /// Services and how many endpoints each has.
     pub services: &'static [(&'static str, usize)],
     /// What each endpoint is like.
-    pub shape: EndpointShape,
+    pub endpoint_profile: EndpointProfile,
     /// The mix of work.
     pub mix: Vec<RequestClass>,
 }
@@ -39,7 +39,7 @@
         targets: "samples/prairie.toml",
         data_centres: 3,
         services: &[("portal", 6), ("vouchers", 10), ("billing", 10)],
-        shape: EndpointShape { slots: 7, service_ms: 15, cold_start_ms: 300 },
+        endpoint_profile: EndpointProfile { slots: 7, service_ms: 15, cold_start_ms: 300 },
         mix: vec![
             kind("charge", "/billing/charges", true, 20, 2),
             kind("voucher", "/vouchers", true, 30, 2),
@@ -55,7 +55,7 @@
         targets: "samples/pila-verde.toml",
         data_centres: 4,
         services: &[("directory", 8), ("intake", 8), ("ledger", 8)],
-        shape: EndpointShape { slots: 4, service_ms: 20, cold_start_ms: 300 },
+        endpoint_profile: EndpointProfile { slots: 4, service_ms: 20, cold_start_ms: 300 },
         mix: vec![
             kind("drop-off", "/drop-offs", true, 20, 3),
             kind("credit", "/credits", true, 20, 3),
@@ -75,7 +75,7 @@
         let mut count = 0;
         for (service, endpoints) in self.services {
             for _ in 0..*endpoints {
-                fleet.add_endpoint(service, count % daemons, self.shape)?;
+                fleet.add_endpoint(service, count % daemons, self.endpoint_profile)?;
                 count += 1;
             }
         }
--- a/standins/src/endpoint.rs
+++ b/standins/src/endpoint.rs
@@ -44,7 +44,8 @@
     /// It answers with less than it states.
     pub truncates: bool,
     /// It reports this load, whatever it has.
-    pub reports: Option<u32>,
+    #[serde(rename = "reports")]
+    pub reported_load: Option<u32>,
 }
 
 /// What an endpoint is.
@@ -123,7 +124,7 @@
         } else {
             AnnouncedState::Serving
         };
-        let load = self.fault().reports.unwrap_or_else(|| self.running.load(Ordering::Relaxed));
+        let load = self.fault().reported_load.unwrap_or_else(|| self.running.load(Ordering::Relaxed));
         let announcement = Announcement {
             service: self.options.service.clone(),
             address: self.options.address,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether it has ended of itself.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -101,7 +101,7 @@
 
 /// What an endpoint of a fleet is like.
 #[derive(Debug, Clone, Copy)]
-pub struct EndpointShape {
+pub struct EndpointProfile {
     /// How many requests it takes at once.
     pub slots: u16,
     /// How long a request takes on average, in milliseconds.
@@ -162,7 +162,7 @@
     }
 
     /// Starts an endpoint beside the daemon at `daemon`.
-    pub fn add_endpoint(&mut self, service: &str, daemon: usize, shape: EndpointShape) -> io::Result<usize> {
+    pub fn add_endpoint(&mut self, service: &str, daemon: usize, profile: EndpointProfile) -> io::Result<usize> {
         let address = free_address()?;
         let log = self.dir.join(format!("runs-{}.log", self.endpoints.len()));
         let args = [
@@ -170,9 +170,9 @@
             format!("--service={service}"),
             format!("--address={address}"),
             format!("--daemon={}", self.daemons[daemon].local),
-            format!("--slots={}", shape.slots),
-            format!("--service-ms={}", shape.service_ms),
-            format!("--cold-start-ms={}", shape.cold_start_ms),
+            format!("--slots={}", profile.slots),
+            format!("--service-ms={}", profile.service_ms),
+            format!("--cold-start-ms={}", profile.cold_start_ms),
             format!("--log={}", log.display()),
         ];
         let args = args.to_vec();
@@ -190,8 +190,8 @@
     }
 
     /// Runs a `jayreach` command and returns its exit code and output.
-    pub fn command(&self, args: &[&str]) -> io::Result<(Option<i32>, String)> {
-        let output = Command::new(program("jayreach")?)
+    pub fn run_command(&self, args: &[&str]) -> io::Result<(Option<i32>, String)> {
+        let output = Command::new(program_path("jayreach")?)
             .args(args)
             .env("JAYREACH_STORE", self.store.to_string())
             .env("USER", "operator")
@@ -205,7 +205,7 @@
         let daemon = self.daemons[0].local.to_string();
         let file = file.display().to_string();
         let args = ["apply", &file, "--why", "stand-in", "--wait", "--daemon", &daemon];
-        let (code, text) = self.command(&args)?;
+        let (code, text) = self.run_command(&args)?;
         if code == Some(0) { Ok(text) } else { Err(io::Error::other(text)) }
     }
 
@@ -213,7 +213,7 @@
     pub fn wait_for_endpoints(&self, count: usize) -> io::Result<()> {
         let deadline = Instant::now() + Duration::from_secs(30);
         loop {
-            let seen: Vec<_> = self.daemons.iter().map(|it| eligible(it.local).unwrap_or(0)).collect();
+            let seen: Vec<_> = self.daemons.iter().map(|it| count_eligible(it.local).unwrap_or(0)).collect();
             if seen.iter().all(|it| *it >= count) {
                 return Ok(());
             }
@@ -225,7 +225,7 @@
     }
 
     /// Tells an endpoint, or the store, how to misbehave.
-    pub fn control<T: serde::Serialize>(&self, address: SocketAddr, fault: &T) -> io::Result<()> {
+    pub fn set_fault<T: serde::Serialize>(&self, address: SocketAddr, fault: &T) -> io::Result<()> {
         let body = serde_json::to_vec(fault)?;
         let sent = ureq::post(format!("http://{address}/control")).send(&body[..]);
         sent.map(|_| ()).map_err(io::Error::other)
@@ -237,7 +237,7 @@
     }
 
     /// All operations in the run logs, sorted; one that ran twice stands twice.
-    pub fn runs(&self) -> io::Result<Vec<Box<str>>> {
+    pub fn read_run_logs(&self) -> io::Result<Vec<Box<str>>> {
         let mut runs = Vec::new();
         for it in &self.endpoints {
             // An endpoint that never started has no log.
@@ -257,14 +257,14 @@
 }
 
 /// How many endpoints a daemon may give work to.
-pub fn eligible(local: SocketAddr) -> io::Result<usize> {
-    let status = status(local)?;
+pub fn count_eligible(local: SocketAddr) -> io::Result<usize> {
+    let status = fetch_status(local)?;
     let services = status["services"].as_array().map_or(&[][..], Vec::as_slice);
     Ok(services.iter().filter_map(|it| it["eligible"].as_u64()).sum::<u64>() as usize)
 }
 
 /// A daemon's status.
-pub fn status(local: SocketAddr) -> io::Result<serde_json::Value> {
+pub fn fetch_status(local: SocketAddr) -> io::Result<serde_json::Value> {
     let mut resp = ureq::get(format!("http://{local}/status")).call().map_err(io::Error::other)?;
     let text = resp.body_mut().read_to_string().map_err(io::Error::other)?;
     Ok(serde_json::from_str(&text)?)
@@ -300,11 +300,11 @@
 
 fn start_daemon(dir: &Path, name: &str, settings: &Path) -> io::Result<Process> {
     let args = ["daemon".into(), format!("--settings={}", settings.display())];
-    start(dir, name, &program("jayreach")?, &args)
+    start(dir, name, &program_path("jayreach")?, &args)
 }
 
 fn start_standin(dir: &Path, name: &str, args: &[String]) -> io::Result<Process> {
-    start(dir, name, &program("standins")?, args)
+    start(dir, name, &program_path("standins")?, args)
 }
 
 fn start(dir: &Path, name: &str, program: &Path, args: &[String]) -> io::Result<Process> {
@@ -314,7 +314,7 @@
 }
 
 /// A program of this build: beside the running one, or one folder up from a test.
-pub fn program(name: &str) -> io::Result<PathBuf> {
+pub fn program_path(name: &str) -> io::Result<PathBuf> {
     let own = env::current_exe()?;
     let places = own.ancestors().skip(1).take(2).map(|it| it.join(name));
     let mut found = places.into_iter().filter(|it| it.is_file());
--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    fleet::{Fleet, status},
+    fleet::{Fleet, fetch_status},
     proc::usage,
     slopes::large_targets,
     store::StoreCalls,
@@ -134,7 +134,7 @@
         return Err(io::Error::other("the change changed nothing"));
     };
     let wait = |local: SocketAddr| {
-        while status(local).ok().and_then(|it| it["config_version"].as_u64()).unwrap_or(0) < version {
+        while fetch_status(local).ok().and_then(|it| it["config_version"].as_u64()).unwrap_or(0) < version {
             thread::sleep(Duration::from_millis(40));
         }
         started.elapsed()
@@ -148,7 +148,7 @@
 /// When the first and the last view held a killed daemon to be down.
 fn until_seen(fleet: &Fleet, started: Instant) -> (Duration, Duration) {
     let wait = |local: SocketAddr| {
-        while status(local).ok().and_then(|it| it["daemons_down"].as_u64()).unwrap_or(0) == 0 {
+        while fetch_status(local).ok().and_then(|it| it["daemons_down"].as_u64()).unwrap_or(0) == 0 {
             thread::sleep(Duration::from_millis(20));
         }
         started.elapsed()
--- a/standins/src/overload.rs
+++ b/standins/src/overload.rs
@@ -8,16 +8,17 @@
 use rustix::process::Signal;
 
 use crate::{
-    fleet::{EndpointShape, Fleet},
+    fleet::{EndpointProfile, Fleet},
     load::{self, Load, ReportedOutcome, RequestClass, Summary},
 };
 
 /// Endpoints of the service.
 const ENDPOINTS: usize = 4;
 /// What each is like.
-const SHAPE: EndpointShape = EndpointShape { slots: 5, service_ms: 100, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 5, service_ms: 100, cold_start_ms: 0 };
 /// The service's capacity, in requests a second.
-const CAPACITY: f64 = (ENDPOINTS * SHAPE.slots as usize) as f64 * 1000.0 / SHAPE.service_ms as f64;
+const CAPACITY: f64 =
+    (ENDPOINTS * ENDPOINT_PROFILE.slots as usize) as f64 * 1000.0 / ENDPOINT_PROFILE.service_ms as f64;
 /// The loads, in shares of the capacity.
 const LOADS: [f64; 5] = [0.8, 1.0, 1.5, 2.0, 4.0];
 /// How long each load lasts.
@@ -80,7 +81,7 @@
         fleet.add_daemon("dc-1")?;
     }
     for at in 0..ENDPOINTS {
-        fleet.add_endpoint("mixed", at % 2, SHAPE)?;
+        fleet.add_endpoint("mixed", at % 2, ENDPOINT_PROFILE)?;
     }
     let file = std::env::temp_dir().join(format!("jayreach-overload-{}.toml", std::process::id()));
     fs::write(&file, targets(importances))?;
@@ -123,7 +124,7 @@
         fleet.endpoints.iter().for_each(|it| it.process.signal(Signal::CONT));
         running.join().expect("the load does not panic")
     });
-    let runs = fleet.runs()?.len();
+    let runs = fleet.read_run_logs()?.len();
     let refused = history.iter().filter(|it| it.first_outcome == ReportedOutcome::NotRun).count();
     let after = history.iter().filter(|it| it.due > Duration::from_secs(8));
     let good = after.clone().filter(|it| matches!(it.first_outcome, ReportedOutcome::Done(200))).count();
--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -283,7 +283,7 @@
 
 fn spawn(settings: &PathBuf, log: &PathBuf) -> io::Result<Child> {
     let out = fs::OpenOptions::new().create(true).append(true).open(log)?;
-    let mut command = Command::new(fleet::program("jayreach")?);
+    let mut command = Command::new(fleet::program_path("jayreach")?);
     command.arg("proxy").arg("--settings").arg(settings);
     let err = out.try_clone()?;
     command.stdin(Stdio::null()).stdout(out).stderr(err).spawn()
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -17,7 +17,7 @@
 use crate::{
     deployment::{Deployment, pila_verde, prairie},
     endpoint::EndpointFault,
-    fleet::{DaemonProcess, Fleet, eligible, status},
+    fleet::{DaemonProcess, Fleet, count_eligible, fetch_status},
     history::{self, HistoryReport},
     load::{self, Load},
     store::StoreFault,
@@ -154,7 +154,7 @@
     broken?;
     let (accepted, crashes) = (soak.accepted, soak.crashes);
     let converged = heal(&fleet, accepted)?;
-    let history = history::check(&load.mix, &history, &fleet.runs()?);
+    let history = history::check(&load.mix, &history, &fleet.read_run_logs()?);
     fleet.close();
     Ok(SoakReport { history, reverts, crashes, accepted, converged })
 }
@@ -184,7 +184,8 @@
             thread::sleep(Duration::from_millis(self.rng.random_range(500..2000)));
             let count = if self.rng.random_bool(0.3) { 2 } else { 1 };
             let faults: Vec<_> = (0..count).map(|_| self.draw()).collect();
-            self.crashes += self.fleet.daemons.iter_mut().filter_map(|it| it.process.ended().then_some(())).count();
+            self.crashes +=
+                self.fleet.daemons.iter_mut().filter_map(|it| it.process.has_exited().then_some(())).count();
             if self.options.verbose {
                 println!("{:6.1} s  {:?}", start.elapsed().as_secs_f64(), faults);
             }
@@ -220,9 +221,9 @@
             Fault::Hangs => self.endpoint_fault(endpoint, &EndpointFault { hangs: 0.5, ..none }),
             Fault::Truncates => self.endpoint_fault(endpoint, &EndpointFault { truncates: true, ..none }),
             Fault::SlowAndLying => {
-                self.endpoint_fault(endpoint, &EndpointFault { slow_ms: 1500, reports: Some(0), ..none });
+                self.endpoint_fault(endpoint, &EndpointFault { slow_ms: 1500, reported_load: Some(0), ..none });
             }
-            Fault::StoreAway => self.store_fault(&StoreFault { away: true, ..StoreFault::default() })?,
+            Fault::StoreAway => self.store_fault(&StoreFault { unavailable: true, ..StoreFault::default() })?,
             Fault::StoreSlow => self.store_fault(&StoreFault { slow_ms: 800, ..StoreFault::default() })?,
             Fault::LoseAnswers => {
                 let lose_answers = self.rng.random_range(1..5);
@@ -241,7 +242,7 @@
             Fault::FreezeDaemon => {
                 self.fleet.daemons[daemon].process.signal(Signal::CONT);
                 // The other fault may have been to kill it.
-                if self.fleet.daemons[daemon].process.ended() {
+                if self.fleet.daemons[daemon].process.has_exited() {
                     self.fleet.restart_daemon(daemon)?;
                 }
             }
@@ -258,11 +259,11 @@
 
     fn endpoint_fault(&self, at: usize, fault: &EndpointFault) {
         // An endpoint that the other fault has killed or paused can't be told.
-        _ = self.fleet.control(self.fleet.endpoints[at].address, fault);
+        _ = self.fleet.set_fault(self.fleet.endpoints[at].address, fault);
     }
 
     fn store_fault(&self, fault: &StoreFault) -> io::Result<()> {
-        self.fleet.control(self.fleet.store, fault)
+        self.fleet.set_fault(self.fleet.store, fault)
     }
 
     /// Makes as many changes at once as there are operators.
@@ -277,7 +278,7 @@
             .collect::<Result<_, _>>()?;
         let fleet = &*self.fleet;
         let codes: Vec<_> = thread::scope(|scope| {
-            let apply = |file| move || fleet.command(&["apply", file, "--why", "soak", "--json"]);
+            let apply = |file| move || fleet.run_command(&["apply", file, "--why", "soak", "--json"]);
             let names: Vec<_> = files.iter().map(|it| it.to_str().expect("a path in UTF-8")).collect();
             let running: Vec<_> = names.iter().map(|it| scope.spawn(apply(*it))).collect();
             running.into_iter().map(|it| it.join().expect("a command does not panic")).collect()
@@ -295,7 +296,7 @@
     let mut reverts = 0;
     while !over.load(Ordering::Acquire) {
         for (local, seen) in locals.iter().zip(&mut seen) {
-            let Ok(status) = status(*local) else { continue };
+            let Ok(status) = fetch_status(*local) else { continue };
             let now = (status["incarnation"].as_u64().unwrap_or(0), status["config_version"].as_u64().unwrap_or(0));
             reverts += usize::from(now.0 == seen.0 && now.1 < seen.1);
             *seen = now;
@@ -309,8 +310,8 @@
 fn heal(fleet: &Fleet, accepted: usize) -> io::Result<bool> {
     let deadline = Instant::now() + HEALING;
     while Instant::now() < deadline {
-        let version = |it: &DaemonProcess| status(it.local).ok()?["config_version"].as_u64();
-        let sees_all = |it: &DaemonProcess| eligible(it.local).is_ok_and(|seen| seen == fleet.endpoints.len());
+        let version = |it: &DaemonProcess| fetch_status(it.local).ok()?["config_version"].as_u64();
+        let sees_all = |it: &DaemonProcess| count_eligible(it.local).is_ok_and(|seen| seen == fleet.endpoints.len());
         if fleet.daemons.iter().all(|it| version(it) == Some(accepted as u64) && sees_all(it)) {
             return Ok(true);
         }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -22,7 +22,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFault {
     /// Every call fails.
-    pub away: bool,
+    #[serde(rename = "away")]
+    pub unavailable: bool,
     /// Every call takes so much longer, in milliseconds.
     pub slow_ms: u64,
     /// So many writes take effect and lose their answers.
@@ -86,7 +87,7 @@
         }
         let fault = self.lock().fault.clone();
         thread::sleep(Duration::from_millis(fault.slow_ms));
-        if fault.away {
+        if fault.unavailable {
             return respond(req, 503, None, Vec::new());
         }
         if let Some(prefix) = target.strip_prefix("/objects?prefix=") {
@@ -156,7 +157,7 @@
                 return respond(req, 200, Some(version), value);
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() || state.fault.away {
+            if left.is_zero() || state.fault.unavailable {
                 drop(state);
                 return respond(req, 304, None, Vec::new());
             }
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/end_to_end.rs
@@ -16,13 +16,13 @@
 use rstest::rstest;
 use standins::{
     deployment::{prairie, repository_file},
-    fleet::{EndpointShape, Fleet, TOKEN, status},
+    fleet::{EndpointProfile, Fleet, TOKEN, fetch_status},
     history,
     load::{self, Load},
 };
 use ureq::{Agent, Body, http::Response};
 
-const SHAPE: EndpointShape = EndpointShape { slots: 4, service_ms: 5, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 4, service_ms: 5, cold_start_ms: 0 };
 
 fn small_fleet() -> Fleet {
     let mut fleet = Fleet::start().expect("a store");
@@ -30,7 +30,7 @@
         fleet.add_daemon(data_centre).expect("a daemon");
     }
     for (at, service) in ["portal", "vouchers", "billing", "billing"].into_iter().enumerate() {
-        fleet.add_endpoint(service, at % 2, SHAPE).expect("an endpoint");
+        fleet.add_endpoint(service, at % 2, ENDPOINT_PROFILE).expect("an endpoint");
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
     fleet.wait_for_endpoints(4).expect("all endpoints are seen");
@@ -84,7 +84,7 @@
     assert_eq!(again.body_mut().read_to_string().expect("a body"), "charge-1");
     assert_eq!(outcome(&other), (422, "not-run"));
     assert_eq!(outcome(&refused), (401, "unknown"), "the ticket's work ran, so \"not-run\" would mislead");
-    let runs = fleet.runs().expect("the run logs");
+    let runs = fleet.read_run_logs().expect("the run logs");
     assert_eq!(runs.iter().filter(|it| ***it == *"charge-1").count(), 1);
     assert!(!runs.iter().any(|it| **it == *"charge-2"));
     fleet.close();
@@ -105,7 +105,7 @@
     assert_eq!(outcome(&no_account), (401, "not-run"));
     assert_eq!(outcome(&bad_ticket), (400, "not-run"));
     assert_eq!(outcome(&large), (413, "not-run"));
-    assert!(fleet.runs().expect("the run logs").is_empty());
+    assert!(fleet.read_run_logs().expect("the run logs").is_empty());
     fleet.close();
 }
 
@@ -114,21 +114,21 @@
     let fleet = small_fleet();
     let dir = std::env::temp_dir().join(format!("jayreach-change-{}", std::process::id()));
     fs::create_dir_all(&dir).expect("a folder");
-    let shown = fleet.command(&["show"]).expect("the targets").1;
+    let shown = fleet.run_command(&["show"]).expect("the targets").1;
     let (mine, theirs) = (dir.join("mine.toml"), dir.join("theirs.toml"));
     fs::write(&mine, shown.replace("importance = 30", "importance = 31")).expect("a file");
     fs::write(&theirs, shown.replace("importance = 30", "importance = 32")).expect("a file");
 
     let applied = fleet.apply(&mine).expect("the change is accepted");
-    let lost = fleet.command(&["apply", path(&theirs), "--why", "racing", "--who", "second"]).expect("a command");
+    let lost = fleet.run_command(&["apply", path(&theirs), "--why", "racing", "--who", "second"]).expect("a command");
 
     assert!(applied.contains("in force in all 2 daemons"), "{applied}");
     assert_eq!(lost.0, Some(3), "{}", lost.1);
     assert!(lost.1.contains("version 2 is in force") && lost.1.contains("by operator (stand-in)"), "{}", lost.1);
     let versions: Vec<_> =
-        fleet.daemons.iter().map(|it| status(it.local).expect("a status")["config_version"].as_u64()).collect();
+        fleet.daemons.iter().map(|it| fetch_status(it.local).expect("a status")["config_version"].as_u64()).collect();
     assert_eq!(versions, [Some(2), Some(2)]);
-    let audit = fleet.command(&["audit", "--last", "1"]).expect("a command").1;
+    let audit = fleet.run_command(&["audit", "--last", "1"]).expect("a command").1;
     assert!(audit.contains("version 2") && audit.contains("~ class lookup"), "{audit}");
     fs::remove_dir_all(dir).expect("the folder goes");
     fleet.close();
@@ -145,7 +145,7 @@
     let sample = repository_file("samples/prairie.toml");
     let used = ticket(caller);
     call(caller, "/billing/charges", Some(&used), TOKEN, "charge-1");
-    let run = |args: &[&str]| fleet.command(args).expect("a command");
+    let run = |args: &[&str]| fleet.run_command(args).expect("a command");
 
     let checked = run(&["check", path(&sample)]);
     let diff = run(&["diff", path(&sample), "--json"]);
@@ -166,7 +166,7 @@
 
 fn wait_for_end(fleet: &mut Fleet) {
     for _ in 0..200 {
-        if fleet.daemons[0].process.ended() {
+        if fleet.daemons[0].process.has_exited() {
             return;
         }
         thread::sleep(Duration::from_millis(50));
@@ -232,7 +232,7 @@
         running.join().expect("the load does not panic")
     });
 
-    let verdict = history::check(&load.mix, &history, &fleet.runs().expect("the run logs"));
+    let verdict = history::check(&load.mix, &history, &fleet.read_run_logs().expect("the run logs"));
     assert!(verdict.passed(), "{verdict}");
     assert_eq!(verdict.unknown_but_ran, 0, "{verdict}");
     fleet.close();
--- a/standins/tests/late_configuration.rs
+++ b/standins/tests/late_configuration.rs
@@ -15,7 +15,7 @@
 use rstest::rstest;
 use standins::{
     deployment::repository_file,
-    fleet::{Fleet, status},
+    fleet::{Fleet, fetch_status},
     platform::{
         desk::{WORK, two_routes},
         site::{Proxy, Relays, Site, eventually},
@@ -132,7 +132,7 @@
     let sample = repository_file("samples/prairie.toml");
     fleet.apply(&sample).expect("the sample is accepted");
     let has = |version: u64| {
-        fleet.daemons.iter().all(|it| status(it.local).is_ok_and(|seen| seen["config_version"] == version))
+        fleet.daemons.iter().all(|it| fetch_status(it.local).is_ok_and(|seen| seen["config_version"] == version))
     };
     assert!(eventually(|| has(1)));
     thread::sleep(WATCHED_AGAIN);
--- a/standins/tests/membership.rs
+++ b/standins/tests/membership.rs
@@ -9,14 +9,14 @@
 use rustix::process::Signal;
 use standins::{
     deployment::{prairie, repository_file},
-    fleet::{EndpointShape, Fleet, eligible, status},
+    fleet::{EndpointProfile, Fleet, count_eligible, fetch_status},
     history,
     load::{self, Load},
     slopes::large_targets,
     store::StoreFault,
 };
 
-const SHAPE: EndpointShape = EndpointShape { slots: 4, service_ms: 5, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 4, service_ms: 5, cold_start_ms: 0 };
 
 fn fleet(daemons: usize) -> Fleet {
     let mut fleet = Fleet::start().expect("a store");
@@ -24,7 +24,7 @@
         fleet.add_daemon(&format!("dc-{}", at % 2 + 1)).expect("a daemon");
     }
     for (at, service) in ["portal", "vouchers", "billing"].into_iter().enumerate() {
-        fleet.add_endpoint(service, at % daemons, SHAPE).expect("an endpoint");
+        fleet.add_endpoint(service, at % daemons, ENDPOINT_PROFILE).expect("an endpoint");
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
     fleet.wait_for_endpoints(3).expect("all endpoints are seen");
@@ -43,14 +43,16 @@
 #[test]
 fn a_daemon_that_restarts_while_the_store_is_away_gets_all_from_its_peers() {
     let mut fleet = fleet(3);
-    fleet.control(fleet.store, &StoreFault { away: true, ..StoreFault::default() }).expect("the store is told");
+    fleet
+        .set_fault(fleet.store, &StoreFault { unavailable: true, ..StoreFault::default() })
+        .expect("the store is told");
 
     fleet.restart_daemon(2).expect("the daemon starts");
     let local = fleet.daemons[2].local;
 
     wait_until("it serves", Duration::from_secs(20), || {
-        status(local).is_ok_and(|it| it["config_version"] == 1 && it["phase"] == "serving")
-            && eligible(local).is_ok_and(|it| it == 3)
+        fetch_status(local).is_ok_and(|it| it["config_version"] == 1 && it["phase"] == "serving")
+            && count_eligible(local).is_ok_and(|it| it == 3)
     });
     fleet.close();
 }
@@ -65,7 +67,7 @@
     daemon.process.signal(Signal::CONT);
     thread::sleep(Duration::from_secs(5));
 
-    assert_eq!(eligible(daemon.local).expect("a new connection is accepted"), 3);
+    assert_eq!(count_eligible(daemon.local).expect("a new connection is accepted"), 3);
     let answer = ureq::get(format!("http://{}/portal", daemon.callers)).call().expect("an answer");
     assert_eq!(answer.status(), 200);
     fleet.close();
@@ -77,12 +79,12 @@
     let targets = std::fs::read_to_string(repository_file("samples/prairie.toml")).expect("the sample");
     let file = std::env::temp_dir().join(format!("jayreach-lost-{}.toml", std::process::id()));
     std::fs::write(&file, targets.replace("importance = 30", "importance = 20")).expect("a file");
-    fleet.control(fleet.store, &StoreFault { lose_answers: 4, ..StoreFault::default() }).expect("the store is told");
+    fleet.set_fault(fleet.store, &StoreFault { lose_answers: 4, ..StoreFault::default() }).expect("the store is told");
 
     let applied = fleet.apply(&file).expect("the change is accepted");
 
     assert!(applied.contains("accepted as version 2"), "{applied}");
-    let audit = fleet.command(&["audit"]).expect("a command").1;
+    let audit = fleet.run_command(&["audit"]).expect("a command").1;
     assert_eq!(audit.matches("~ class lookup").count(), 1, "{audit}");
     std::fs::remove_file(file).expect("the file goes");
     fleet.close();
@@ -108,7 +110,7 @@
 fn a_leaving_or_killed_endpoint_gets_no_work_after_three_seconds_in_any_view() {
     let mut fleet = fleet(3);
     let seen_everywhere =
-        |fleet: &Fleet, count| fleet.daemons.iter().all(|it| eligible(it.local).is_ok_and(|seen| seen == count));
+        |fleet: &Fleet, count| fleet.daemons.iter().all(|it| count_eligible(it.local).is_ok_and(|seen| seen == count));
 
     fleet.endpoints[0].process.signal(Signal::TERM);
     let left = wait_until("leaving is seen", Duration::from_secs(10), || seen_everywhere(&fleet, 2));
@@ -122,7 +124,8 @@
 #[test]
 fn a_killed_daemon_is_held_to_be_down_and_a_paused_one_refutes_it() {
     let mut fleet = fleet(4);
-    let down = |at: usize| status(fleet.daemons[at].local).map_or(0, |it| it["daemons_down"].as_u64().unwrap_or(0));
+    let down =
+        |at: usize| fetch_status(fleet.daemons[at].local).map_or(0, |it| it["daemons_down"].as_u64().unwrap_or(0));
 
     fleet.daemons[3].process.signal(Signal::STOP);
     wait_until("the pause is seen", Duration::from_secs(60), || (0..3).all(|it| down(it) == 1));
@@ -130,7 +133,8 @@
     wait_until("the refutation is seen", Duration::from_secs(60), || (0..3).all(|it| down(it) == 0));
     fleet.daemons[3].process.kill();
 
-    let down = |at: usize| status(fleet.daemons[at].local).map_or(0, |it| it["daemons_down"].as_u64().unwrap_or(0));
+    let down =
+        |at: usize| fetch_status(fleet.daemons[at].local).map_or(0, |it| it["daemons_down"].as_u64().unwrap_or(0));
     wait_until("the kill is seen", Duration::from_secs(60), || (0..3).all(|it| down(it) == 1));
     fleet.close();
 }
@@ -158,7 +162,7 @@
         running.join().expect("the load does not panic")
     });
 
-    let verdict = history::check(&load.mix, &history, &fleet.runs().expect("the run logs"));
+    let verdict = history::check(&load.mix, &history, &fleet.read_run_logs().expect("the run logs"));
     assert!(verdict.passed(), "{verdict}");
     assert_eq!(verdict.unknown_but_ran, 0, "a run was cut off from its caller: {verdict}");
     fleet.close();
--- a/standins/tests/signals.rs
+++ b/standins/tests/signals.rs
@@ -36,7 +36,7 @@
 
 /// A proxy that waits for its settings.
 fn beginning() -> Child {
-    let mut command = Command::new(fleet::program("jayreach").expect("it is built"));
+    let mut command = Command::new(fleet::program_path("jayreach").expect("it is built"));
     command.args(["proxy", "--settings", "/dev/stdin"]);
     let child = command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
     thread::sleep(BEGUN);
--- a/standins/tests/silence.rs
+++ b/standins/tests/silent_connections.rs
@@ -11,11 +11,11 @@
 use standins::{
     deployment::repository_file,
     endpoint::OPERATION_HEADER,
-    fleet::{EndpointShape, Fleet, TOKEN},
+    fleet::{EndpointProfile, Fleet, TOKEN},
     relay::Relay,
 };
 
-const SHAPE: EndpointShape = EndpointShape { slots: 8, service_ms: 2, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 8, service_ms: 2, cold_start_ms: 0 };
 
 /// Announces an address for `service` until it is told to stop.
 fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, over: Arc<AtomicBool>) {
@@ -66,7 +66,7 @@
     let mut relays = Vec::new();
     for service in ["portal", "billing"] {
         // The endpoint itself is announced under a service that no route leads to.
-        let at = fleet.add_endpoint("behind-a-relay", 0, SHAPE).expect("an endpoint");
+        let at = fleet.add_endpoint("behind-a-relay", 0, ENDPOINT_PROFILE).expect("an endpoint");
         let relay = Relay::start(fleet.endpoints[at].address).expect("a relay");
         announce(local, service, relay.address, Arc::clone(&over));
         relays.push(relay);
@@ -85,7 +85,7 @@
 
     assert_eq!(charged.0, 200, "{charged:?}");
     assert!(looked_up.iter().all(|it| it.0 == 200 && it.1 < Duration::from_secs(1)), "{looked_up:?}");
-    let runs = fleet.runs().expect("the run logs");
+    let runs = fleet.read_run_logs().expect("the run logs");
     assert_eq!(runs.iter().filter(|it| ***it == *"charge-1").count(), 1);
     over.store(true, Ordering::Release);
     fleet.close();
--- a/standins/tests/strangers.rs
+++ b/standins/tests/untrusted_input.rs
@@ -14,18 +14,18 @@
 };
 use standins::{
     deployment::repository_file,
-    fleet::{EndpointShape, Fleet},
+    fleet::{EndpointProfile, Fleet},
     proc::usage,
 };
 
-const SHAPE: EndpointShape = EndpointShape { slots: 4, service_ms: 2, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 4, service_ms: 2, cold_start_ms: 0 };
 /// What a daemon's memory may grow by under bad input, in bytes.
 const GROWTH_LIMIT: u64 = 64 << 20;
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
-    fleet.add_endpoint("portal", 0, SHAPE).expect("an endpoint");
+    fleet.add_endpoint("portal", 0, ENDPOINT_PROFILE).expect("an endpoint");
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
     fleet.wait_for_endpoints(1).expect("the endpoint is seen");
     fleet
@@ -104,7 +104,7 @@
     result.expect("other callers are unharmed");
     let after = usage(fleet.daemons[0].process.id()).expect("usage").resident;
     assert!(after < before + GROWTH_LIMIT, "{before} to {after} bytes");
-    assert!(!fleet.daemons[0].process.ended());
+    assert!(!fleet.daemons[0].process.has_exited());
     fleet.close();
 }
 
