--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a small fleet of separate processes on loopback, and ends each by its id.
+//! Starts a store, daemons and endpoints as separate processes on loopback, for tests and measurements.
 
 use std::{
     env, fs,
@@ -13,38 +13,38 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// The key between the daemons of a fleet.
+/// Peer key of the daemons of a fleet.
 const PEER_KEY: &str = "a-key-for-stand-ins-only";
-/// The token of the samples' account.
+/// Token of the client account in the sample targets.
 pub const TOKEN: &str = "demo-token";
-/// How long a process may take to end after a stop.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
+/// How long a process may take to exit after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-static FLEETS: AtomicU32 = AtomicU32::new(1);
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(1);
 
-/// A process of the fleet; it is killed when it goes out of scope.
+/// A process of the fleet; killed on drop.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Sends a signal.
+    /// Sends a signal; does nothing if the process has exited.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        // A process that has ended needs no signal.
+        // An error means that the process has exited.
         _ = kill_process(pid, signal);
     }
 
-    /// Kills it without a warning.
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// Tells it to stop and waits for its end; true if it ended well in time.
+    /// Sends SIGTERM and waits for the exit; true if the process exited with success within the timeout.
     pub fn stop(&mut self) -> bool {
         self.signal(Signal::TERM);
-        let deadline = Instant::now() + STOP_LIMIT;
+        let deadline = Instant::now() + STOP_TIMEOUT;
         while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.success();
@@ -54,12 +54,12 @@
         false
     }
 
-    /// Whether it has ended of itself.
+    /// Whether the process has exited, without waiting for it.
     pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// The process's id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -71,46 +71,46 @@
     }
 }
 
-/// A daemon and its addresses.
+/// A daemon process and its addresses.
 pub struct DaemonProcess {
-    /// Its name.
+    /// Name in the daemon's settings.
     pub name: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where peers connect.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// Where endpoints and operators connect.
+    /// Address for endpoints and operators on the VM.
     pub local: SocketAddr,
     /// The process.
     pub process: Process,
     settings: PathBuf,
 }
 
-/// An endpoint and its address.
+/// An endpoint process and its address.
 pub struct EndpointProcess {
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: String,
-    /// Its address.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Its run log.
+    /// File with one executed operation a line.
     pub log: PathBuf,
     /// The process.
     pub process: Process,
     args: Vec<String>,
 }
 
-/// What an endpoint of a fleet is like.
+/// Slots and timing of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointProfile {
-    /// How many requests it takes at once.
+    /// Number of requests that may run at the same time.
     pub slots: u16,
-    /// How long a request takes on average, in milliseconds.
+    /// Mean service time of a request, in milliseconds.
     pub service_ms: u64,
-    /// How long its cold start takes, in milliseconds.
+    /// Duration of the cold start, in milliseconds.
     pub cold_start_ms: u64,
 }
 
-/// A store, daemons and endpoints.
+/// A store, daemons and endpoints that run as separate processes.
 pub struct Fleet {
     dir: PathBuf,
     /// The store's address.
@@ -124,18 +124,18 @@
 }
 
 impl Fleet {
-    /// Starts a store and nothing else.
+    /// Starts a store; daemons and endpoints are added afterwards.
     pub fn start() -> io::Result<Self> {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         let dir = env::temp_dir().join(format!("jayreach-{}-{number}", std::process::id()));
         fs::create_dir_all(&dir)?;
         let store = free_address()?;
         let store_process = start_standin(&dir, "store", &["store".into(), format!("--address={store}")])?;
-        wait_for(store)?;
+        wait_for_listener(store)?;
         Ok(Self { dir, store, store_process, daemons: Vec::new(), endpoints: Vec::new() })
     }
 
-    /// Starts a daemon in a data centre.
+    /// Starts a daemon in a data centre and returns its index in `daemons`.
     pub fn add_daemon(&mut self, data_centre: &str) -> io::Result<usize> {
         let name = format!("vm-{}", self.daemons.len() + 1);
         let (callers, peers, local) = (free_address()?, free_address()?, free_address()?);
@@ -148,20 +148,20 @@
             writeln!(file, "contacts = [\"{}\"]", contact.peers)?;
         }
         let process = start_daemon(&self.dir, &name, &settings)?;
-        wait_for(local)?;
+        wait_for_listener(local)?;
         self.daemons.push(DaemonProcess { name, callers, peers, local, process, settings });
         Ok(self.daemons.len() - 1)
     }
 
-    /// Starts a daemon that has ended again, with the same settings.
-    pub fn restart_daemon(&mut self, at: usize) -> io::Result<()> {
-        let it = &mut self.daemons[at];
+    /// Kills a daemon if it still runs and starts it again with the same settings.
+    pub fn restart_daemon(&mut self, index: usize) -> io::Result<()> {
+        let it = &mut self.daemons[index];
         it.process.kill();
         it.process = start_daemon(&self.dir, &it.name, &it.settings)?;
-        wait_for(it.local)
+        wait_for_listener(it.local)
     }
 
-    /// Starts an endpoint beside the daemon at `daemon`.
+    /// Starts an endpoint that announces itself to the daemon with index `daemon`; returns its index in `endpoints`.
     pub fn add_endpoint(&mut self, service: &str, daemon: usize, profile: EndpointProfile) -> io::Result<usize> {
         let address = free_address()?;
         let log = self.dir.join(format!("runs-{}.log", self.endpoints.len()));
@@ -181,15 +181,15 @@
         Ok(self.endpoints.len() - 1)
     }
 
-    /// Starts an endpoint that has ended again, at the same address.
-    pub fn restart_endpoint(&mut self, at: usize) -> io::Result<()> {
-        let it = &mut self.endpoints[at];
+    /// Kills an endpoint if it still runs and starts it again at the same address.
+    pub fn restart_endpoint(&mut self, index: usize) -> io::Result<()> {
+        let it = &mut self.endpoints[index];
         it.process.kill();
         it.process = start_standin(&self.dir, "endpoints", &it.args)?;
         Ok(())
     }
 
-    /// Runs a `jayreach` command and returns its exit code and output.
+    /// Runs a `jayreach` command as an operator; returns its exit code, and its standard output followed by its errors.
     pub fn run_command(&self, args: &[&str]) -> io::Result<(Option<i32>, String)> {
         let output = Command::new(program_path("jayreach")?)
             .args(args)
@@ -200,7 +200,7 @@
         Ok((output.status.code(), text.into_owned()))
     }
 
-    /// Applies a targets file and waits until it is in force everywhere.
+    /// Applies a targets file, waits until it is active in all daemons, and returns the command's output.
     pub fn apply(&self, file: &Path) -> io::Result<String> {
         let daemon = self.daemons[0].local.to_string();
         let file = file.display().to_string();
@@ -209,7 +209,7 @@
         if code == Some(0) { Ok(text) } else { Err(io::Error::other(text)) }
     }
 
-    /// Waits until every daemon sees `count` endpoints that may be given work.
+    /// Waits until every daemon lists at least `count` eligible endpoints; an error after 30 s.
     pub fn wait_for_endpoints(&self, count: usize) -> io::Result<()> {
         let deadline = Instant::now() + Duration::from_secs(30);
         loop {
@@ -224,23 +224,23 @@
         }
     }
 
-    /// Tells an endpoint, or the store, how to misbehave.
+    /// Sets the fault of an endpoint or of the store at `address`.
     pub fn set_fault<T: serde::Serialize>(&self, address: SocketAddr, fault: &T) -> io::Result<()> {
         let body = serde_json::to_vec(fault)?;
         let sent = ureq::post(format!("http://{address}/control")).send(&body[..]);
         sent.map(|_| ()).map_err(io::Error::other)
     }
 
-    /// The callers' addresses.
+    /// Addresses of all daemons for callers.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|it| it.callers).collect()
     }
 
-    /// All operations in the run logs, sorted; one that ran twice stands twice.
+    /// All operations in the endpoints' run logs, sorted; an operation occurs once for each execution.
     pub fn read_run_logs(&self) -> io::Result<Vec<Box<str>>> {
         let mut runs = Vec::new();
         for it in &self.endpoints {
-            // An endpoint that never started has no log.
+            // An endpoint that failed to start has no log.
             let text = fs::read_to_string(&it.log).unwrap_or_default();
             runs.extend(text.lines().map(Box::<str>::from));
         }
@@ -248,7 +248,7 @@
         Ok(runs)
     }
 
-    /// Ends all processes and removes the files.
+    /// Kills all processes and removes their files.
     pub fn close(self) {
         let dir = self.dir.clone();
         drop(self);
@@ -256,21 +256,21 @@
     }
 }
 
-/// How many endpoints a daemon may give work to.
+/// Number of endpoints, over all services, that a daemon considers eligible for requests.
 pub fn count_eligible(local: SocketAddr) -> io::Result<usize> {
     let status = fetch_status(local)?;
     let services = status["services"].as_array().map_or(&[][..], Vec::as_slice);
     Ok(services.iter().filter_map(|it| it["eligible"].as_u64()).sum::<u64>() as usize)
 }
 
-/// A daemon's status.
+/// Status of the daemon at `local`, as JSON.
 pub fn fetch_status(local: SocketAddr) -> io::Result<serde_json::Value> {
     let mut resp = ureq::get(format!("http://{local}/status")).call().map_err(io::Error::other)?;
     let text = resp.body_mut().read_to_string().map_err(io::Error::other)?;
     Ok(serde_json::from_str(&text)?)
 }
 
-/// An address of loopback that was free a moment ago, outside the range of outgoing connections.
+/// A loopback address with a free port below the range of ephemeral ports.
 pub fn free_address() -> io::Result<SocketAddr> {
     const FIRST: u32 = 10_000;
     const COUNT: u32 = 20_000;
@@ -286,8 +286,8 @@
     Err(io::ErrorKind::AddrInUse.into())
 }
 
-/// Waits until someone listens.
-fn wait_for(address: SocketAddr) -> io::Result<()> {
+/// Waits until `address` accepts connections; an error after 10 s.
+fn wait_for_listener(address: SocketAddr) -> io::Result<()> {
     let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         match std::net::TcpStream::connect(address) {
@@ -313,10 +313,10 @@
     Ok(Process { child })
 }
 
-/// A program of this build: beside the running one, or one folder up from a test.
+/// Path of a program of this build: in the folder of the running program, or one level up when a test runs.
 pub fn program_path(name: &str) -> io::Result<PathBuf> {
     let own = env::current_exe()?;
-    let places = own.ancestors().skip(1).take(2).map(|it| it.join(name));
-    let mut found = places.into_iter().filter(|it| it.is_file());
+    let candidates = own.ancestors().skip(1).take(2).map(|it| it.join(name));
+    let mut found = candidates.into_iter().filter(|it| it.is_file());
     found.next().ok_or_else(|| io::Error::other(format!("{name} is not built; run `cargo build --workspace`")))
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the systems around jayreach, and the tools that measure it. Not shipped.
+//! Stand-ins for the systems around jayreach (store, endpoints, callers) and the tools that measure it. Not shipped.
 
 pub mod bench;
 pub mod demo;
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The `standins` program.
+//! Command line of the `standins` program: stand-ins, measurements and soaks.
 
 use std::{io, net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -14,147 +14,147 @@
     store,
 };
 
-/// What to be or to measure.
+/// The commands of `standins`.
 #[derive(Debug, Clone, Bpaf)]
 enum Command {
-    /// Be the platform's store
+    /// Run a stand-in for the platform's store
     #[bpaf(command)]
     Store {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         address: SocketAddr,
     },
-    /// Be an endpoint
+    /// Run a stand-in for an endpoint
     #[bpaf(command)]
     Endpoint {
-        /// The service it belongs to
+        /// Service of the endpoint
         #[bpaf(argument("NAME"))]
         service: String,
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         address: SocketAddr,
-        /// The local address of its daemon
+        /// Local address of the daemon on the same VM
         #[bpaf(argument("ADDRESS"))]
         daemon: SocketAddr,
-        /// How many requests it takes at once
+        /// Number of requests that may run at the same time
         #[bpaf(argument("COUNT"), fallback(4))]
         slots: u16,
-        /// How long a request takes on average, in milliseconds
+        /// Mean service time of a request, in milliseconds
         #[bpaf(argument("MS"), fallback(10))]
         service_ms: u64,
-        /// How long its cold start takes, in milliseconds
+        /// Duration of the cold start, in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         cold_start_ms: u64,
-        /// Its run log
+        /// File that each executed operation is appended to
         #[bpaf(argument("FILE"))]
         log: PathBuf,
     },
-    /// Be the callers of a deployment: make load on daemons that run, and print what became of it
+    /// Send a deployment's load to running daemons and print the outcomes
     #[bpaf(command)]
     Caller {
-        /// The callers' address of a daemon; once for each daemon
+        /// Address of a daemon for callers; repeat it for each daemon
         #[bpaf(argument("ADDRESS"), some("name at least one daemon"))]
         daemon: Vec<SocketAddr>,
-        /// Make Pila Verde's load, not Prairie's
+        /// Send Pila Verde's load instead of Prairie's
         pila_verde: bool,
-        /// Requests a second
+        /// Requests per second
         #[bpaf(argument("RATE"), fallback(100.0))]
         rate: f64,
-        /// For how long
+        /// Duration of the load, in seconds
         #[bpaf(argument("SECONDS"), fallback(10))]
         seconds: u64,
-        /// Seeds the load
+        /// Seed of the load
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
-    /// Show both deployments of the brief under load, with one endpoint broken
+    /// Run both sample deployments under load while one endpoint fails
     #[bpaf(command)]
     Demo {
-        /// Requests a second
+        /// Requests per second
         #[bpaf(argument("RATE"), fallback(300.0))]
         rate: f64,
-        /// Seeds the load
+        /// Seed of the load
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
-    /// Measure what a pair of daemons adds to a request
+    /// Measure the latency and processor time that a pair of daemons adds to a request
     #[bpaf(command)]
     Bench {
-        /// Requests a second of the open loop
+        /// Requests per second of the open loop
         #[bpaf(argument("RATE"), fallback(1000.0))]
         rate: f64,
     },
-    /// Print detection time against false ejections, beside two published rules
+    /// Print detection time and false ejections of the failure detector and of two published rules
     #[bpaf(command)]
     Gray {
-        /// How long a trace is
+        /// Length of a trace, in hours
         #[bpaf(argument("HOURS"), fallback(24.0))]
         hours: f64,
-        /// Seeds the traces
+        /// Seed of the traces
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
-    /// Load a service with up to four times its capacity, and stall it
+    /// Load a service with up to four times its capacity, then pause all its endpoints
     #[bpaf(command)]
     Overload {
-        /// Seeds the load
+        /// Seed of the load
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
-    /// Measure what one unit of each thing costs
+    /// Measure the cost of one row, ticket, route, account and decision
     #[bpaf(command)]
     Slopes {
-        /// Seeds the random parts
+        /// Seed of the random parts
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
     },
-    /// Measure what an idle fleet of daemons spends, and how fast it sees changes
+    /// Measure what an idle fleet of daemons uses and how fast changes spread
     #[bpaf(command)]
     Idle {
-        /// How many daemons
+        /// Number of daemons
         #[bpaf(argument("COUNT"), fallback(24))]
         daemons: usize,
-        /// How many changes of configuration
+        /// Number of configuration changes
         #[bpaf(argument("COUNT"), fallback(20))]
         changes: usize,
-        /// How many endpoints announce themselves to each daemon; 11 at the size of letter 1
+        /// Number of endpoints announced to each daemon; 11 in a fleet of full size
         #[bpaf(argument("COUNT"), fallback(11))]
         endpoints: u16,
-        /// Use a configuration of the size of letter 1
+        /// Use a configuration of full size: 22,000 routes and 190,000 accounts
         large: bool,
     },
-    /// Keep proxies between stand-ins of the users' platform under load and faults, and end with a verdict
+    /// Run proxies on a stand-in of the users' platform under load and faults, and check the outcomes
     #[bpaf(command)]
     ProxySoak {
-        /// Seeds the load and the faults
+        /// Seed of the load and the faults
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// How many soaks, with this seed and the next ones
+        /// Number of soaks, with this seed and the following ones
         #[bpaf(argument("COUNT"), fallback(1))]
         count: u64,
-        /// For how long each has faults
+        /// Duration of the faults of each soak, in seconds
         #[bpaf(argument("SECONDS"), fallback(20))]
         seconds: u64,
-        /// How many proxies
+        /// Number of proxies
         #[bpaf(argument("COUNT"), fallback(6))]
         proxies: usize,
-        /// Have a request come again and again that ends its endpoints
+        /// Repeatedly send a request that crashes its endpoints
         crashing: bool,
-        /// Have the store restored from a backup from time to time
+        /// Restore the store from a backup from time to time
         restoring: bool,
         /// Print each fault
         verbose: bool,
     },
-    /// Keep a deployment under load and faults, and end with a verdict
+    /// Run a sample deployment under load and faults, and check the outcomes
     #[bpaf(command)]
     Soak {
-        /// Seeds the load and the faults; an even one picks Pila Verde, an odd one Prairie
+        /// Seed of the load and the faults; even: Pila Verde, odd: Prairie
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// For how long
+        /// Duration of load and faults, in minutes
         #[bpaf(argument("MINUTES"), fallback(1.0))]
         minutes: f64,
-        /// Requests a second
+        /// Requests per second
         #[bpaf(argument("RATE"), fallback(150.0))]
         rate: f64,
     },
@@ -171,7 +171,7 @@
     }
 }
 
-/// Runs a command; false if what it checks does not hold.
+/// Runs a command; `Ok(false)` if one of its checks failed.
 fn run(command: Command) -> io::Result<bool> {
     match command {
         Command::Store { address } => store::run(address).map(|()| true),
@@ -206,14 +206,14 @@
         }
         Command::ProxySoak { seed, count, seconds, proxies, crashing, restoring, verbose } => {
             let duration = Duration::from_secs(seconds);
-            let mut holds = true;
+            let mut passed = true;
             for seed in seed..seed + count {
                 let options = platform::soak::SoakOptions { seed, duration, proxies, crashing, restoring, verbose };
                 let verdict = platform::soak::run(&options)?;
                 println!("seed {seed}: {}: {verdict}", if verdict.holds() { "kept" } else { "BROKEN" });
-                holds &= verdict.holds();
+                passed &= verdict.holds();
             }
-            Ok(holds)
+            Ok(passed)
         }
         Command::Soak { seed, minutes, rate } => soak(seed, minutes, rate),
     }
@@ -223,8 +223,8 @@
     let duration = Duration::from_secs_f64(minutes * 60.0);
     println!("seed {seed}, {minutes} minutes, {rate} requests/s");
     let options = SoakOptions { seed, duration, rate, faults: FAULTS.to_vec(), verbose: true };
-    let verdict = soak::run(&options)?;
-    println!("{verdict}");
-    println!("verdict: {}", if verdict.passed() { "every promise was kept" } else { "A PROMISE WAS BROKEN" });
-    Ok(verdict.passed())
+    let report = soak::run(&options)?;
+    println!("{report}");
+    println!("verdict: {}", if report.passed() { "every promise was kept" } else { "A PROMISE WAS BROKEN" });
+    Ok(report.passed())
 }
