--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -28,8 +28,8 @@
     pub mix: Vec<RequestClass>,
 }
 
-fn kind(class: &'static str, path: &'static str, ticketed: bool, percent: u32, secs: u64) -> RequestClass {
-    RequestClass { class, path, ticketed, percent, lateness: Duration::from_secs(secs) }
+fn request_class(name: &'static str, path: &'static str, ticketed: bool, percent: u32, secs: u64) -> RequestClass {
+    RequestClass { name, path, ticketed, percent, lateness: Duration::from_secs(secs) }
 }
 
 /// Prairie Public Access Network Authority.
@@ -41,9 +41,9 @@
         services: &[("portal", 6), ("vouchers", 10), ("billing", 10)],
         endpoint_profile: EndpointProfile { slots: 7, service_ms: 15, cold_start_ms: 300 },
         mix: vec![
-            kind("charge", "/billing/charges", true, 20, 2),
-            kind("voucher", "/vouchers", true, 30, 2),
-            kind("lookup", "/portal", false, 50, 1),
+            request_class("charge", "/billing/charges", true, 20, 2),
+            request_class("voucher", "/vouchers", true, 30, 2),
+            request_class("lookup", "/portal", false, 50, 1),
         ],
     }
 }
@@ -57,9 +57,9 @@
         services: &[("directory", 8), ("intake", 8), ("ledger", 8)],
         endpoint_profile: EndpointProfile { slots: 4, service_ms: 20, cold_start_ms: 300 },
         mix: vec![
-            kind("drop-off", "/drop-offs", true, 20, 3),
-            kind("credit", "/credits", true, 20, 3),
-            kind("lookup", "/directory", false, 60, 5),
+            request_class("drop-off", "/drop-offs", true, 20, 3),
+            request_class("credit", "/credits", true, 20, 3),
+            request_class("lookup", "/directory", false, 60, 5),
         ],
     }
 }
--- a/standins/src/endpoint.rs
+++ b/standins/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an endpoint: announces itself, has slots, a cold start and faults, and writes
-//! a run log by which the history check knows what really ran.
+//! Stand-in for an endpoint: announces itself and has slots, a cold start and faults. It writes each executed
+//! operation to a run log, against which the history check compares what callers were told.
 
 use std::{
     collections::HashMap,
@@ -20,50 +20,49 @@
 use serde::{Deserialize, Serialize};
 use tiny_http::{Header, Request, Response, Server};
 
-/// How often an endpoint announces itself.
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(1);
-/// How long an endpoint goes on announcing that it leaves.
-const LEAVE_NOTICE: Duration = Duration::from_secs(1);
-/// How long work hangs that never answers.
-const HANG: Duration = Duration::from_secs(30);
-/// Names the operation of a request, in the run log and in the answer.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long an endpoint still accepts requests after it has announced that it leaves.
+const LEAVE_DELAY: Duration = Duration::from_secs(1);
+/// How long a hanging request blocks.
+const HANG_DURATION: Duration = Duration::from_secs(30);
+/// Request header with the operation's name, which is written to the run log and returned as the response body.
 pub const OPERATION_HEADER: &str = "X-Operation";
 
-/// How an endpoint misbehaves.
+/// A fault of an endpoint, set by `POST /control`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EndpointFault {
-    /// The share of requests that run and answer 500.
+    /// Share of requests that run and are answered with status 500, from 0 to 1.
     pub errors: f64,
-    /// The share of requests that run and never answer.
+    /// Share of requests that run and then hang, from 0 to 1.
     pub hangs: f64,
-    /// So much longer a request takes, in milliseconds.
+    /// Time added to each service time, in milliseconds.
     pub slow_ms: u64,
-    /// It fails like this for so long, then not for as long, and again, in milliseconds; 0 for always.
+    /// Length of the alternating periods with and without the fault, in milliseconds; 0 for a constant fault.
     pub flap_ms: u64,
-    /// It answers with less than it states.
+    /// Whether response bodies are shorter than their Content-Length.
     pub truncates: bool,
-    /// It reports this load, whatever it has.
+    /// Load that is announced instead of the real one.
     #[serde(rename = "reports")]
     pub reported_load: Option<u32>,
 }
 
-/// What an endpoint is.
+/// Options of an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointOptions {
-    /// Its service.
+    /// Service that the endpoint belongs to.
     pub service: Box<str>,
-    /// Its address.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// The local address of its daemon.
+    /// Local address of the daemon on the same VM.
     pub daemon: SocketAddr,
-    /// How many requests it takes at once.
+    /// Number of requests that may run at the same time.
     pub slots: u16,
-    /// How long a request takes on average.
+    /// Mean service time of a request.
     pub service_time: Duration,
-    /// How long it says it is starting.
+    /// How long the state `Starting` is announced after the start.
     pub cold_start: Duration,
-    /// The run log; one operation a line.
+    /// Run log, with one executed operation a line.
     pub log: PathBuf,
 }
 
@@ -72,13 +71,13 @@
     running: AtomicU32,
     leaving: AtomicBool,
     fault: Mutex<EndpointFault>,
-    /// The requests under way, by the id their guard gave them.
+    /// Cancellation flags of the running requests, by the request id that the guard assigned.
     requests: Mutex<HashMap<String, Arc<AtomicBool>>>,
     log: Mutex<File>,
     started: Instant,
 }
 
-/// Serves an endpoint until it is told to stop.
+/// Serves an endpoint until SIGTERM.
 pub fn run(options: EndpointOptions) -> io::Result<()> {
     let mut signals = signal_hook::iterator::Signals::new([signal_hook::consts::SIGTERM])?;
     let server = Server::http(options.address).map_err(io::Error::other)?;
@@ -98,11 +97,11 @@
     thread::spawn(move || {
         for req in server.incoming_requests() {
             let endpoint = Arc::clone(&listener);
-            thread::spawn(move || endpoint.answer(req));
+            thread::spawn(move || endpoint.handle(req));
         }
     });
     signals.forever().next();
-    endpoint.leave();
+    endpoint.shut_down();
     Ok(())
 }
 
@@ -112,7 +111,7 @@
         let agent = ureq::Agent::new_with_config(config);
         loop {
             self.announce_once(&agent);
-            thread::sleep(ANNOUNCE_EVERY);
+            thread::sleep(ANNOUNCE_INTERVAL);
         }
     }
 
@@ -132,16 +131,16 @@
             state,
             load,
         };
-        let body = serde_json::to_vec(&announcement).expect("an announcement can be coded");
-        // A daemon that is away is announced to again in a second.
+        let body = serde_json::to_vec(&announcement).expect("an announcement can be encoded");
+        // A lost announcement is repeated after the interval.
         _ = agent.post(format!("http://{}/announce", self.options.daemon)).send(&body[..]);
     }
 
-    /// Says that it leaves, finishes its work, and ends.
-    fn leave(&self) {
+    /// Announces that the endpoint leaves, and waits until its running requests have ended.
+    fn shut_down(&self) {
         self.leaving.store(true, Ordering::Release);
         self.announce_once(&ureq::Agent::new_with_defaults());
-        thread::sleep(LEAVE_NOTICE);
+        thread::sleep(LEAVE_DELAY);
         while self.running.load(Ordering::Acquire) > 0 {
             thread::sleep(Duration::from_millis(20));
         }
@@ -151,14 +150,14 @@
         lock(&self.fault).clone()
     }
 
-    /// The fault, unless it flaps and is in its good half.
-    fn fault_now(&self) -> EndpointFault {
+    /// The fault that applies now: none in every second period of a flapping fault.
+    fn active_fault(&self) -> EndpointFault {
         let fault = self.fault();
-        let half = (self.started.elapsed().as_millis() as u64).checked_div(fault.flap_ms);
-        if half.is_some_and(|it| it % 2 == 1) { EndpointFault::default() } else { fault }
+        let period = (self.started.elapsed().as_millis() as u64).checked_div(fault.flap_ms);
+        if period.is_some_and(|it| it % 2 == 1) { EndpointFault::default() } else { fault }
     }
 
-    fn answer(&self, mut req: Request) {
+    fn handle(&self, mut req: Request) {
         let mut body = Vec::new();
         if req.as_reader().read_to_end(&mut body).is_err() {
             return;
@@ -184,19 +183,19 @@
         let id = header(&req, "Jayreach-Request-Id");
         let cancelled = Arc::new(AtomicBool::new(false));
         lock(&self.requests).insert(id.clone(), Arc::clone(&cancelled));
-        self.work(req, &cancelled);
+        self.execute(req, &cancelled);
         lock(&self.requests).remove(&id);
         self.running.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Runs a request: its effect is the line in the log.
-    fn work(&self, req: Request, cancelled: &AtomicBool) {
-        let fault = self.fault_now();
+    /// Executes a request; its effect is the line in the run log.
+    fn execute(&self, req: Request, cancelled: &AtomicBool) {
+        let fault = self.active_fault();
         let operation = header(&req, OPERATION_HEADER);
         let service_time = self.options.service_time.mul_f64(rand::rng().random_range(0.5..1.5));
         let service_time = service_time + Duration::from_millis(fault.slow_ms);
         let deadline = header(&req, "Jayreach-Deadline-Ms").parse().map_or(Duration::MAX, Duration::from_millis);
-        if !sleep_unless(cancelled, service_time.min(deadline)) {
+        if !sleep_unless_cancelled(cancelled, service_time.min(deadline)) {
             return;
         }
         if service_time > deadline {
@@ -204,7 +203,7 @@
         }
         self.record(&operation);
         let mut rng = rand::rng();
-        if rng.random_bool(fault.hangs) && !sleep_unless(cancelled, HANG) {
+        if rng.random_bool(fault.hangs) && !sleep_unless_cancelled(cancelled, HANG_DURATION) {
             return;
         }
         if fault.truncates {
@@ -219,7 +218,7 @@
     fn record(&self, operation: &str) {
         let mut log = lock(&self.log);
         let line = format!("{operation}\n");
-        log.write_all(line.as_bytes()).expect("the run log can be written");
+        log.write_all(line.as_bytes()).expect("the run log is writable");
     }
 }
 
@@ -232,16 +231,16 @@
     found.map_or_else(String::new, |it| it.value.as_str().to_owned())
 }
 
-/// Sleeps; false if it was cancelled before the time was up.
-fn sleep_unless(cancelled: &AtomicBool, time: Duration) -> bool {
-    const SLICE: Duration = Duration::from_millis(5);
+/// Sleeps for `time`; returns false early if `cancelled` is set.
+fn sleep_unless_cancelled(cancelled: &AtomicBool, time: Duration) -> bool {
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
     let end = Instant::now() + time;
     while !cancelled.load(Ordering::Acquire) {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return true;
         }
-        thread::sleep(left.min(SLICE));
+        thread::sleep(left.min(POLL_INTERVAL));
     }
     false
 }
@@ -249,8 +248,8 @@
 fn respond(req: Request, status: u16, body: &str, outcome: &str) {
     let mut resp = Response::from_string(body).with_status_code(status);
     if !outcome.is_empty() {
-        resp.add_header(Header::from_bytes("Jayreach-Outcome", outcome).expect("an outcome makes a header"));
+        resp.add_header(Header::from_bytes("Jayreach-Outcome", outcome).expect("an outcome is a valid header value"));
     }
-    // A guard that is gone needs no answer.
+    // An error means that the guard has closed its connection.
     _ = req.respond(resp);
 }
--- a/standins/src/history.rs
+++ b/standins/src/history.rs
@@ -1,37 +1,37 @@
-//! Checks what callers were told against what really ran.
+//! Checks the outcomes that callers received against the operations that endpoints executed.
 
 use std::fmt;
 
 use crate::load::{Record, ReportedOutcome, RequestClass};
 
-/// How many broken operations are printed.
-const EXAMPLES: usize = 5;
+/// Number of violations that are printed.
+const PRINTED_VIOLATIONS: usize = 5;
 
-/// What the check found. All but `unknown` must be zero.
+/// Result of a check. The counts of `passed` must be zero; the others are informative.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HistoryReport {
-    /// Operations.
+    /// All operations.
     pub operations: usize,
-    /// Those that ended with an answer below 500.
+    /// Operations whose last outcome was done, with a status below 500.
     pub done: usize,
-    /// Ticketed operations that ran more than once.
+    /// Operations with a ticket that ran more than once.
     pub ran_twice: usize,
-    /// Told "not run", but it ran.
+    /// Operations reported as not run that did run.
     pub not_run_but_ran: usize,
-    /// Told "done", but it did not run.
+    /// Operations reported as done that did not run.
     pub done_but_not_run: usize,
-    /// Got the answer to another operation.
+    /// Operations that received the answer to another operation.
     pub wrong_answers: usize,
-    /// Ticketed operations whose outcome stayed unknown, lost connections included.
+    /// Operations with a ticket whose outcome stayed unknown, lost connections included.
     pub unknown: usize,
-    /// Of those, the ones that ran.
+    /// Operations of `unknown` that did run.
     pub unknown_but_ran: usize,
-    /// The operations that broke a promise.
+    /// Records of the operations that failed the check.
     pub violations: Vec<Box<str>>,
 }
 
 impl HistoryReport {
-    /// Whether every caller learnt the truth and nothing was doubled.
+    /// Whether no reported outcome was false and no operation with a ticket ran twice.
     pub fn passed(&self) -> bool {
         self.ran_twice + self.not_run_but_ran + self.done_but_not_run + self.wrong_answers == 0
     }
@@ -52,40 +52,40 @@
             self.unknown,
             self.unknown_but_ran
         )?;
-        self.violations.iter().take(EXAMPLES).try_for_each(|it| write!(f, "\n  {it}"))
+        self.violations.iter().take(PRINTED_VIOLATIONS).try_for_each(|it| write!(f, "\n  {it}"))
     }
 }
 
-/// Checks a history against the sorted runs of all endpoints.
+/// Checks a history against the sorted operations in the run logs of all endpoints.
 pub fn check(mix: &[RequestClass], history: &[Record], runs: &[Box<str>]) -> HistoryReport {
-    let mut verdict = HistoryReport { operations: history.len(), ..HistoryReport::default() };
+    let mut report = HistoryReport { operations: history.len(), ..HistoryReport::default() };
     for record in history {
-        let ran = count(runs, &record.operation);
+        let ran = run_count(runs, &record.operation);
         let ticketed = mix[record.class_index].ticketed;
-        verdict.ran_twice += usize::from(ticketed && ran > 1);
-        verdict.done += usize::from(matches!(record.last_outcome, ReportedOutcome::Done(..500)));
-        verdict.wrong_answers += usize::from(record.wrong_answer);
-        let untrue = match record.last_outcome {
+        report.ran_twice += usize::from(ticketed && ran > 1);
+        report.done += usize::from(matches!(record.last_outcome, ReportedOutcome::Done(..500)));
+        report.wrong_answers += usize::from(record.wrong_answer);
+        let false_outcome = match record.last_outcome {
             ReportedOutcome::NotRun => ran > 0,
             ReportedOutcome::Done(_) => ran == 0,
             ReportedOutcome::Unknown | ReportedOutcome::Lost => false,
         };
-        if untrue || record.wrong_answer || (ticketed && ran > 1) {
-            verdict.violations.push(format!("{record:?}, ran {ran}").into());
+        if false_outcome || record.wrong_answer || (ticketed && ran > 1) {
+            report.violations.push(format!("{record:?}, ran {ran}").into());
         }
         match record.last_outcome {
-            ReportedOutcome::NotRun => verdict.not_run_but_ran += usize::from(ran > 0),
-            ReportedOutcome::Done(_) => verdict.done_but_not_run += usize::from(ran == 0),
+            ReportedOutcome::NotRun => report.not_run_but_ran += usize::from(ran > 0),
+            ReportedOutcome::Done(_) => report.done_but_not_run += usize::from(ran == 0),
             ReportedOutcome::Unknown | ReportedOutcome::Lost => {
-                verdict.unknown += usize::from(ticketed);
-                verdict.unknown_but_ran += usize::from(ticketed && ran > 0);
+                report.unknown += usize::from(ticketed);
+                report.unknown_but_ran += usize::from(ticketed && ran > 0);
             }
         }
     }
-    verdict
+    report
 }
 
-fn count(runs: &[Box<str>], operation: &str) -> usize {
-    let from = runs.partition_point(|it| **it < *operation);
-    runs[from..].iter().take_while(|it| ***it == *operation).count()
+fn run_count(runs: &[Box<str>], operation: &str) -> usize {
+    let start = runs.partition_point(|it| **it < *operation);
+    runs[start..].iter().take_while(|it| ***it == *operation).count()
 }
--- a/standins/src/listener.rs
+++ b/standins/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that can be closed, so that connections are refused, and opened again at the same address.
+//! A TCP listener that can be closed, so that connections are refused, and reopened at the same address.
 
 use std::{
     io,
@@ -8,33 +8,33 @@
 
 use socket2::SockRef;
 
-/// The socket; its copies are the same one.
+/// A listening socket; clones share it.
 #[derive(Debug, Clone)]
 pub struct Listener {
-    /// Where it listens.
+    /// Address that it listens on, also after it is reopened.
     pub address: SocketAddr,
-    /// `None` while it is closed.
+    /// `None` while the listener is closed.
     socket: Arc<(Mutex<Option<Arc<TcpListener>>>, Condvar)>,
 }
 
 impl Listener {
-    /// Opens one on a free port.
+    /// Listens on a free port of loopback.
     pub fn open() -> io::Result<Self> {
         let socket = TcpListener::bind("127.0.0.1:0")?;
         let address = socket.local_addr()?;
         Ok(Self { address, socket: Arc::new((Mutex::new(Some(Arc::new(socket))), Condvar::new())) })
     }
 
-    /// Refuses connections from now on; open ones stay.
+    /// Closes the socket: new connections are refused, accepted ones stay open.
     pub fn close(&self) {
         let socket = self.socket.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(it) = socket {
-            // Wakes whoever waits for a connection, too.
+            // Also ends a blocked `accept`.
             _ = SockRef::from(&*it).shutdown(Shutdown::Both);
         }
     }
 
-    /// Takes connections again.
+    /// Listens at the same address again, if the listener is closed.
     pub fn reopen(&self) -> io::Result<()> {
         let mut socket = self.socket.0.lock().unwrap_or_else(PoisonError::into_inner);
         if socket.is_none() {
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Hands all connections to `serve`, for ever.
+    /// Passes each accepted connection to `serve`; never returns.
     pub fn serve(&self, serve: impl Fn(TcpStream)) {
         loop {
             let socket = self.wait_until_open();
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,7 +1,7 @@
-//! A caller: open-loop load over all daemons, with a recorded history.
+//! Stand-in for callers: open-loop load over all daemons, with a recorded history.
 //!
-//! Arrivals follow a schedule drawn from the seed, whether or not earlier requests were answered;
-//! latency counts from the scheduled time, so a stall is not left out of the figures.
+//! Requests follow a schedule drawn from the seed, whether or not earlier ones were answered. Latency counts from
+//! the scheduled time, so that a stall shows in the figures (no coordinated omission).
 
 use std::{
     net::SocketAddr,
@@ -19,52 +19,52 @@
 
 use crate::{endpoint::OPERATION_HEADER, fleet::TOKEN};
 
-/// How often a caller asks again about a ticket whose outcome is unknown.
-const ASKS: usize = 40;
-/// The pause before it asks again.
-const ASK_PAUSE: Duration = Duration::from_millis(250);
+/// How often a caller resends a request with a ticket whose outcome is unknown.
+const MAX_RESENDS: usize = 40;
+/// Pause before a caller resends a request.
+const RESEND_PAUSE: Duration = Duration::from_millis(250);
 
-/// One class of a mix.
+/// One class of requests in a load.
 #[derive(Debug, Clone)]
 pub struct RequestClass {
-    /// The class's name, for the table.
-    pub class: &'static str,
-    /// The path.
+    /// Name of the class, for the table and the operations' names.
+    pub name: &'static str,
+    /// Path of the requests.
     pub path: &'static str,
     /// Whether requests need a ticket.
     pub ticketed: bool,
-    /// The share of all requests, in percent.
+    /// Share of all requests, in percent.
     pub percent: u32,
-    /// The class's lateness.
+    /// Latency limit of the class.
     pub lateness: Duration,
 }
 
-/// What load to make.
+/// A load: mix, rate, duration and seed.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// The classes; their shares add up to 100.
+    /// Classes of requests; their shares add up to 100.
     pub mix: Vec<RequestClass>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Length of the schedule.
     pub duration: Duration,
-    /// Seeds the schedule and the choice of classes and daemons.
+    /// Seed of the schedule and of the choice of classes and daemons.
     pub seed: u64,
-    /// How many requests may be under way.
+    /// Number of requests that may be open at the same time.
     pub workers: usize,
-    /// Whether a caller asks again, under the same ticket, when the outcome is unknown or the
-    /// connection was lost.
+    /// Whether a caller resends a request under the same ticket when the outcome is unknown or the connection was
+    /// lost.
     pub retries_unknown: bool,
 }
 
-/// What a caller was told in the end.
+/// Outcome of an operation as a caller received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedOutcome {
-    /// It ran, and this is the status.
+    /// The operation ran; holds the response's status.
     Done(u16),
-    /// It did not run.
+    /// The operation did not run.
     NotRun,
-    /// It may have run.
+    /// The operation may have run.
     Unknown,
     /// The connection was lost or refused.
     Lost,
@@ -73,42 +73,42 @@
 /// One operation of the history.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Names the operation in the endpoints' run logs.
+    /// Name of the operation in the endpoints' run logs.
     pub operation: Box<str>,
-    /// An index into the mix.
+    /// Index of the class in the load's mix.
     pub class_index: usize,
-    /// What the caller was told last.
+    /// Outcome of the last response.
     pub last_outcome: ReportedOutcome,
-    /// What the caller was told first.
+    /// Outcome of the first response.
     pub first_outcome: ReportedOutcome,
-    /// Whether the answer was to another operation.
+    /// Whether a response belonged to another operation.
     pub wrong_answer: bool,
-    /// What the last answer said, unless it was done.
+    /// Body of the last response, unless the outcome was done.
     pub message: Box<str>,
-    /// When it was due, since the start of the load.
+    /// Scheduled time, since the start of the load.
     pub due: Duration,
-    /// From its scheduled time to its first answer.
+    /// Time from the scheduled time to the first response.
     pub latency: Duration,
 }
 
 struct Arrival {
     due: Duration,
     class_index: usize,
-    caller: usize,
+    daemon: usize,
 }
 
-/// Makes the load on the daemons at `callers` and returns the history.
-pub fn run(load: &Load, callers: &[SocketAddr]) -> Vec<Record> {
-    let arrivals = Arc::new(schedule(load, callers.len()));
+/// Sends the load to the daemons that listen for callers at `daemons`, and returns the history.
+pub fn run(load: &Load, daemons: &[SocketAddr]) -> Vec<Record> {
+    let arrivals = Arc::new(schedule(load, daemons.len()));
     let next = Arc::new(AtomicUsize::new(0));
     let history = Arc::new(Mutex::new(Vec::with_capacity(arrivals.len())));
     let start = Instant::now();
     let workers: Vec<_> = (0..load.workers)
         .map(|_| {
-            let (load, callers) = (load.clone(), callers.to_vec());
+            let (load, daemons) = (load.clone(), daemons.to_vec());
             let (arrivals, next, history) = (Arc::clone(&arrivals), Arc::clone(&next), Arc::clone(&history));
             thread::spawn(move || {
-                let caller = Caller::new(&load, &callers);
+                let caller = Caller::new(&load, &daemons);
                 while let Some(arrival) = arrivals.get(next.fetch_add(1, Ordering::Relaxed)) {
                     thread::sleep((start + arrival.due).saturating_duration_since(Instant::now()));
                     let record = caller.operate(arrival, start);
@@ -123,7 +123,7 @@
     std::mem::take(&mut *history.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-fn schedule(load: &Load, callers: usize) -> Vec<Arrival> {
+fn schedule(load: &Load, daemons: usize) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(load.seed);
     let mut arrivals = Vec::new();
     let mut due = 0.0;
@@ -135,66 +135,66 @@
             hit
         });
         let class_index = class_index.expect("the shares of a mix add up to 100");
-        arrivals.push(Arrival { due: Duration::from_secs_f64(due), class_index, caller: rng.random_range(0..callers) });
+        arrivals.push(Arrival { due: Duration::from_secs_f64(due), class_index, daemon: rng.random_range(0..daemons) });
         due -= (1.0 - rng.random::<f64>()).ln() / load.rate;
     }
     arrivals
 }
 
-/// What one answer told.
-struct Heard {
-    told: ReportedOutcome,
-    foreign: bool,
-    words: Box<str>,
+/// One response, as the caller understands it.
+struct CallerResponse {
+    outcome: ReportedOutcome,
+    wrong_answer: bool,
+    message: Box<str>,
 }
 
-impl Heard {
-    fn new(told: ReportedOutcome) -> Self {
-        Self { told, foreign: false, words: Box::default() }
+impl CallerResponse {
+    fn new(outcome: ReportedOutcome) -> Self {
+        Self { outcome, wrong_answer: false, message: Box::default() }
     }
 }
 
 struct Caller<'a> {
     load: &'a Load,
-    callers: &'a [SocketAddr],
+    daemons: &'a [SocketAddr],
     agent: Agent,
 }
 
 impl<'a> Caller<'a> {
-    fn new(load: &'a Load, callers: &'a [SocketAddr]) -> Self {
+    fn new(load: &'a Load, daemons: &'a [SocketAddr]) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections_per_host(1)
             .timeout_global(Some(Duration::from_secs(15)))
             .build();
-        Self { load, callers, agent: Agent::new_with_config(config) }
+        Self { load, daemons, agent: Agent::new_with_config(config) }
     }
 
     fn operate(&self, arrival: &Arrival, start: Instant) -> Record {
-        let kind = &self.load.mix[arrival.class_index];
+        let class = &self.load.mix[arrival.class_index];
         let operation: Box<str> =
-            format!("{}-{}-{:016x}", kind.class, self.load.seed, rand::rng().random::<u64>()).into();
-        let mut at = arrival.caller;
-        let ticket = if kind.ticketed { self.ticket(at) } else { None };
-        let mut heard = match (kind.ticketed, &ticket) {
-            (true, None) => Heard::new(ReportedOutcome::NotRun),
-            _ => self.send(at, kind, &operation, ticket.as_deref()),
+            format!("{}-{}-{:016x}", class.name, self.load.seed, rand::rng().random::<u64>()).into();
+        let mut at = arrival.daemon;
+        let ticket = if class.ticketed { self.ticket(at) } else { None };
+        let mut resp = match (class.ticketed, &ticket) {
+            (true, None) => CallerResponse::new(ReportedOutcome::NotRun),
+            _ => self.send(at, class, &operation, ticket.as_deref()),
         };
-        let first_outcome = heard.told;
-        let mut wrong_answer = heard.foreign;
+        let first_outcome = resp.outcome;
+        let mut wrong_answer = resp.wrong_answer;
         let latency = start.elapsed().saturating_sub(arrival.due);
         if let Some(ticket) = ticket.as_deref().filter(|_| self.load.retries_unknown) {
-            for _ in 0..ASKS {
-                if matches!(heard.told, ReportedOutcome::Done(_) | ReportedOutcome::NotRun) {
+            for _ in 0..MAX_RESENDS {
+                if matches!(resp.outcome, ReportedOutcome::Done(_) | ReportedOutcome::NotRun) {
                     break;
                 }
-                thread::sleep(ASK_PAUSE);
+                thread::sleep(RESEND_PAUSE);
                 at += 1;
-                heard = self.send(at % self.callers.len(), kind, &operation, Some(ticket));
-                wrong_answer |= heard.foreign;
+                resp = self.send(at % self.daemons.len(), class, &operation, Some(ticket));
+                wrong_answer |= resp.wrong_answer;
             }
         }
-        let Heard { told: last_outcome, words: message, .. } = heard;
+        let CallerResponse { outcome: last_outcome, message, .. } = resp;
         Record {
             operation,
             class_index: arrival.class_index,
@@ -207,9 +207,9 @@
         }
     }
 
-    /// A ticket from the daemon, or from the next one if that is away.
+    /// A ticket from the daemon at index `at`, or from the next daemon that issues one.
     fn ticket(&self, at: usize) -> Option<String> {
-        let addresses = self.callers.iter().cycle().skip(at).take(self.callers.len());
+        let addresses = self.daemons.iter().cycle().skip(at).take(self.daemons.len());
         addresses.into_iter().find_map(|address| {
             let sent = self.agent.post(format!("http://{address}/.jayreach/tickets")).send_empty();
             let text = sent.ok().filter(|it| it.status() == 200)?.body_mut().read_to_string().ok()?;
@@ -217,55 +217,59 @@
         })
     }
 
-    fn send(&self, at: usize, kind: &RequestClass, operation: &str, ticket: Option<&str>) -> Heard {
+    fn send(&self, at: usize, class: &RequestClass, operation: &str, ticket: Option<&str>) -> CallerResponse {
         let mut req = self
             .agent
-            .post(format!("http://{}{}", self.callers[at], kind.path))
+            .post(format!("http://{}{}", self.daemons[at], class.path))
             .header("Authorization", format!("Bearer {TOKEN}"))
             .header(OPERATION_HEADER, operation);
         if let Some(ticket) = ticket {
             req = req.header("Jayreach-Ticket", ticket);
         }
-        let Ok(mut resp) = req.send(operation) else { return Heard::new(ReportedOutcome::Lost) };
+        let Ok(mut resp) = req.send(operation) else { return CallerResponse::new(ReportedOutcome::Lost) };
         let status = resp.status().as_u16();
         let outcome = resp.headers().get("Jayreach-Outcome").map(|it| it.as_bytes().to_vec());
-        let Ok(body) = resp.body_mut().read_to_string() else { return Heard::new(ReportedOutcome::Lost) };
+        let Ok(body) = resp.body_mut().read_to_string() else { return CallerResponse::new(ReportedOutcome::Lost) };
         match outcome.as_deref() {
-            Some(b"done") => Heard { foreign: body != operation, ..Heard::new(ReportedOutcome::Done(status)) },
-            Some(b"not-run") => Heard { words: body.into(), ..Heard::new(ReportedOutcome::NotRun) },
-            Some(b"unknown") => Heard { words: body.into(), ..Heard::new(ReportedOutcome::Unknown) },
-            _ => Heard::new(ReportedOutcome::Lost),
+            Some(b"done") => {
+                CallerResponse { wrong_answer: body != operation, ..CallerResponse::new(ReportedOutcome::Done(status)) }
+            }
+            Some(b"not-run") => CallerResponse { message: body.into(), ..CallerResponse::new(ReportedOutcome::NotRun) },
+            Some(b"unknown") => {
+                CallerResponse { message: body.into(), ..CallerResponse::new(ReportedOutcome::Unknown) }
+            }
+            _ => CallerResponse::new(ReportedOutcome::Lost),
         }
     }
 }
 
-/// What became of one class.
+/// Outcomes and latencies of one class.
 #[derive(Debug, Clone)]
 pub struct Summary {
-    /// The class.
+    /// Name of the class.
     pub class: &'static str,
     /// All requests.
     pub requests: usize,
-    /// Whole answers below 500.
+    /// Requests with a complete response below 500.
     pub done: usize,
-    /// Answers of 500 and above that the endpoints gave.
+    /// Requests that an endpoint answered with 500 or above.
     pub errors: usize,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub not_run: usize,
-    /// Told that it may have run.
+    /// Requests that may have run.
     pub unknown: usize,
-    /// Lost or refused connections.
+    /// Requests whose connection was lost or refused.
     pub lost: usize,
-    /// Done within the class's lateness.
+    /// Requests done within the class's latency limit.
     pub in_time: usize,
-    /// Times to the first answer, in microseconds.
+    /// Times to the first response, in microseconds.
     pub times: Histogram<u64>,
 }
 
-/// Sums a history up by class.
+/// Summarizes the first outcomes of a history by class.
 pub fn summarize(load: &Load, history: &[Record]) -> Vec<Summary> {
-    let new = |kind: &RequestClass| Summary {
-        class: kind.class,
+    let new = |class: &RequestClass| Summary {
+        class: class.name,
         requests: 0,
         done: 0,
         errors: 0,
@@ -295,7 +299,7 @@
     summaries
 }
 
-/// Prints a table of the classes.
+/// Prints a table with a row for each class.
 pub fn print(summaries: &[Summary]) {
     println!(
         "{:10} {:>8} {:>8} {:>7} {:>8} {:>8} {:>6} {:>9} {:>9} {:>9}",
--- a/standins/src/overload.rs
+++ b/standins/src/overload.rs
@@ -38,17 +38,17 @@
 }
 
 fn mix() -> Vec<RequestClass> {
-    let kind = |class, path, ticketed, percent| RequestClass {
-        class,
+    let class = |name, path, ticketed, percent| RequestClass {
+        name,
         path,
         ticketed,
         percent,
         lateness: Duration::from_secs(1),
     };
     vec![
-        kind("charge", "/charge", true, 20),
-        kind("voucher", "/voucher", true, 30),
-        kind("lookup", "/lookup", false, 50),
+        class("charge", "/charge", true, 20),
+        class("voucher", "/voucher", true, 30),
+        class("lookup", "/lookup", false, 50),
     ]
 }
 
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,5 +1,4 @@
-//! A stand-in for what stands between two ends: it passes connections on, and can delay, cut, reset or
-//! silence them.
+//! A TCP relay for network faults: forwards connections to a target, and can delay, block, reset or silence them.
 
 use std::{
     io::{self, ErrorKind, Read as _, Write as _},
@@ -16,26 +15,26 @@
 
 use crate::listener::Listener;
 
-/// How often a relay looks whether its weather has changed.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a forwarding thread checks for changed impairments, resets and silenced connections.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a relay does to what passes.
+/// What a relay does to the traffic of all its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Impairment {
-    /// Nothing.
+    /// Forwards at once.
     #[default]
     None,
-    /// Each piece comes later by this.
+    /// Forwards each chunk after this delay.
     Delayed(Duration),
-    /// Nothing reaches the target; it comes when the weather changes.
+    /// Holds traffic to the target until the impairment changes.
     CutTo,
-    /// Nothing comes back from the target until the weather changes.
+    /// Holds traffic from the target until the impairment changes.
     CutFrom,
 }
 
-/// Which way a stream goes.
+/// Direction of traffic, relative to the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     To,
     From,
 }
@@ -43,79 +42,81 @@
 #[derive(Debug, Default)]
 struct Shared {
     impairment: Mutex<Impairment>,
-    /// Connections of earlier ages than this are silent.
-    age: AtomicU64,
-    /// Connections from before the last of these are reset.
+    /// Number of times that connections were silenced; those of an earlier epoch carry nothing.
+    silence_epoch: AtomicU64,
+    /// Number of resets; connections opened before the latest are reset.
     resets: AtomicU64,
 }
 
-/// A relay before one address; ends with the process.
+/// A relay to one target; runs until the process ends.
 #[derive(Debug, Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
     pub(crate) listener: Listener,
     shared: Arc<Shared>,
 }
 
 impl Relay {
-    /// Starts a relay before `target`.
+    /// Starts a relay to `target` on a free port of loopback.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = Listener::open()?;
         let shared = Arc::new(Shared::default());
         let relay = Self { address: listener.address, listener: listener.clone(), shared: Arc::clone(&shared) };
         thread::spawn(move || {
-            listener.serve(|near| {
-                // A target that is away looks like a connection that ends at once.
-                let Ok(far) = TcpStream::connect(target) else { return };
-                for (from, to, way) in
-                    [(near.try_clone(), far.try_clone(), Way::To), (far.try_clone(), near.try_clone(), Way::From)]
-                {
+            listener.serve(|client| {
+                // If the target refuses the connection, the client's is closed at once.
+                let Ok(server) = TcpStream::connect(target) else { return };
+                for (from, to, direction) in [
+                    (client.try_clone(), server.try_clone(), Direction::To),
+                    (server.try_clone(), client.try_clone(), Direction::From),
+                ] {
                     let (Ok(from), Ok(to)) = (from, to) else { continue };
-                    let pass = Pass::new(from, to, way, &shared);
-                    thread::spawn(move || pass.run());
+                    let forwarder = Forwarder::new(from, to, direction, &shared);
+                    thread::spawn(move || forwarder.run());
                 }
             });
         });
         Ok(relay)
     }
 
-    /// Changes what happens to all connections, open and new.
+    /// Sets the impairment of all connections, open and new.
     pub fn set_impairment(&self, impairment: Impairment) {
         *self.shared.impairment.lock().unwrap_or_else(PoisonError::into_inner) = impairment;
     }
 
-    /// Loses track of all open connections: nothing passes any more, and nobody is told.
+    /// Silences all open connections: they stay open and carry nothing more. New connections work.
     pub fn silence_open_connections(&self) {
-        self.shared.age.fetch_add(1, Ordering::AcqRel);
+        self.shared.silence_epoch.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Resets all open connections.
+    /// Resets all open connections (TCP RST).
     pub fn reset_open_connections(&self) {
         self.shared.resets.fetch_add(1, Ordering::AcqRel);
     }
 }
 
-/// One way of one connection.
-struct Pass {
+/// Forwards one direction of one connection.
+struct Forwarder {
     from: TcpStream,
     to: TcpStream,
-    way: Way,
+    direction: Direction,
     shared: Arc<Shared>,
-    /// The age it was born in.
-    age: u64,
-    /// The resets before it.
+    /// Value of `Shared::silence_epoch` when the connection was opened.
+    silence_epoch: u64,
+    /// Value of `Shared::resets` when the connection was opened.
     resets: u64,
 }
 
-impl Pass {
-    fn new(from: TcpStream, to: TcpStream, way: Way, shared: &Arc<Shared>) -> Self {
-        let (age, resets) = (shared.age.load(Ordering::Acquire), shared.resets.load(Ordering::Acquire));
-        Self { from, to, way, shared: Arc::clone(shared), age, resets }
+impl Forwarder {
+    fn new(from: TcpStream, to: TcpStream, direction: Direction, shared: &Arc<Shared>) -> Self {
+        let (silence_epoch, resets) =
+            (shared.silence_epoch.load(Ordering::Acquire), shared.resets.load(Ordering::Acquire));
+        Self { from, to, direction, shared: Arc::clone(shared), silence_epoch, resets }
     }
 
     fn run(mut self) {
-        _ = self.from.set_read_timeout(Some(LOOK));
+        _ = self.from.set_read_timeout(Some(POLL_INTERVAL));
         let mut buf = [0; 4096];
         while !self.is_reset() {
             let count = match self.from.read(&mut buf) {
@@ -123,14 +124,14 @@
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
                 Err(_) => 0,
             };
-            if self.is_forgotten() {
+            if self.is_silenced() {
                 if count == 0 {
                     return;
                 }
                 continue;
             }
-            self.wait_for_impairment();
-            if self.is_forgotten() {
+            self.apply_impairment();
+            if self.is_silenced() {
                 continue;
             }
             if count == 0 || self.to.write_all(&buf[..count]).is_err() {
@@ -138,29 +139,33 @@
             }
         }
         if self.is_reset() {
-            // The system resets a connection that is closed so, once nobody holds it any more.
+            // With a linger time of zero, the kernel resets the connection when its last handle is closed.
             for it in [&self.from, &self.to] {
                 _ = SockRef::from(it).set_linger(Some(Duration::ZERO));
             }
             return;
         }
-        // Whoever is still there learns that the other side is gone.
+        // The other end sees that this connection is closed.
         _ = self.to.shutdown(Shutdown::Both);
     }
 
-    /// Waits as long as the weather holds this way up.
-    fn wait_for_impairment(&self) {
+    /// Waits while the impairment delays or blocks this direction.
+    fn apply_impairment(&self) {
         loop {
             let impairment = *self.shared.impairment.lock().unwrap_or_else(PoisonError::into_inner);
-            match (impairment, self.way) {
+            match (impairment, self.direction) {
                 (Impairment::Delayed(it), _) => {
                     thread::sleep(it);
                     return;
                 }
-                (Impairment::CutTo, Way::To) | (Impairment::CutFrom, Way::From) => thread::sleep(LOOK),
-                (Impairment::None, _) | (Impairment::CutTo, Way::From) | (Impairment::CutFrom, Way::To) => return,
+                (Impairment::CutTo, Direction::To) | (Impairment::CutFrom, Direction::From) => {
+                    thread::sleep(POLL_INTERVAL)
+                }
+                (Impairment::None, _) | (Impairment::CutTo, Direction::From) | (Impairment::CutFrom, Direction::To) => {
+                    return;
+                }
             }
-            if self.is_reset() || self.is_forgotten() {
+            if self.is_reset() || self.is_silenced() {
                 return;
             }
         }
@@ -170,7 +175,7 @@
         self.shared.resets.load(Ordering::Acquire) != self.resets
     }
 
-    fn is_forgotten(&self) -> bool {
-        self.shared.age.load(Ordering::Acquire) != self.age
+    fn is_silenced(&self) -> bool {
+        self.shared.silence_epoch.load(Ordering::Acquire) != self.silence_epoch
     }
 }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the platform's store: objects with versions, conditional updates, watches.
+//! Stand-in for the platform's store: versioned objects, conditional writes and watches.
 //!
-//! `POST /control` makes it be away, be slow, or lose answers after their writes took effect.
+//! `POST /control` sets a fault: failed calls, slow calls, or writes that take effect but return an error.
 
 use std::{
     collections::BTreeMap,
@@ -14,30 +14,30 @@
 use serde::{Deserialize, Serialize};
 use tiny_http::{Header, Method, Request, Response, Server};
 
-/// The largest value, in bytes (brief, "Where it will run").
-const VALUE_LIMIT: usize = 1 << 20;
+/// Largest value that the platform's store accepts.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// How the store misbehaves.
+/// A fault of the store, set by `POST /control`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFault {
-    /// Every call fails.
+    /// Whether every call fails with status 503.
     #[serde(rename = "away")]
     pub unavailable: bool,
-    /// Every call takes so much longer, in milliseconds.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// So many writes take effect and lose their answers.
+    /// Number of writes to come that take effect but are answered with status 502.
     pub lose_answers: u32,
 }
 
-/// The calls so far.
+/// Numbers of calls since the start, as `GET /stats` returns them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StoreCalls {
     /// Reads and listings.
     pub reads: u64,
     /// Writes and removals.
     pub writes: u64,
-    /// Watches, each counted once.
+    /// Watches, counted when they begin.
     pub watches: u64,
 }
 
@@ -66,7 +66,7 @@
     let store = Arc::new(Store::default());
     for req in server.incoming_requests() {
         let store = Arc::clone(&store);
-        thread::spawn(move || store.answer(req));
+        thread::spawn(move || store.handle(req));
     }
     Ok(())
 }
@@ -76,13 +76,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn answer(&self, mut req: Request) {
+    fn handle(&self, mut req: Request) {
         let target = req.url().to_owned();
         if target.starts_with("/control") {
             return self.control(req);
         }
         if target == "/stats" {
-            let stats = serde_json::to_vec(&self.lock().calls).expect("counts can be coded");
+            let stats = serde_json::to_vec(&self.lock().calls).expect("counts can be encoded");
             return respond(req, 200, None, stats);
         }
         let fault = self.lock().fault.clone();
@@ -126,7 +126,7 @@
         state.calls.reads += 1;
         let keys: Vec<_> = state.objects.keys().filter(|it| it.starts_with(prefix)).cloned().collect();
         drop(state);
-        respond(req, 200, None, serde_json::to_vec(&keys).expect("keys can be coded"));
+        respond(req, 200, None, serde_json::to_vec(&keys).expect("keys can be encoded"));
     }
 
     fn get(&self, req: Request, key: &str) {
@@ -171,18 +171,18 @@
             found.map(|it| it.value.as_str().trim_matches('"').to_owned())
         };
         let (if_match, if_none) = (header("If-Match"), header("If-None-Match"));
-        if value.len() > VALUE_LIMIT {
+        if value.len() > MAX_VALUE_BYTES {
             return respond(req, 413, None, Vec::new());
         }
         let mut state = self.lock();
         state.calls.writes += 1;
         let current = state.objects.get(key).map(|it| it.version.to_string());
-        let holds = match (if_match, if_none) {
+        let condition_met = match (if_match, if_none) {
             (Some(wanted), _) => current == Some(wanted),
             (None, Some(_)) => current.is_none(),
             (None, None) => true,
         };
-        if !holds {
+        if !condition_met {
             drop(state);
             return respond(req, 412, None, Vec::new());
         }
@@ -190,10 +190,10 @@
         let version = state.version;
         state.objects.insert(key.to_owned(), Object { version, value });
         self.changed.notify_all();
-        let lost = state.fault.lose_answers > 0;
+        let answer_lost = state.fault.lose_answers > 0;
         state.fault.lose_answers = state.fault.lose_answers.saturating_sub(1);
         drop(state);
-        if lost {
+        if answer_lost {
             return respond(req, 502, None, Vec::new());
         }
         respond(req, 200, Some(version), Vec::new());
@@ -212,8 +212,8 @@
     let mut resp = Response::from_data(body).with_status_code(status);
     if let Some(version) = version {
         let tag = format!("\"{version}\"");
-        resp.add_header(Header::from_bytes("ETag", tag).expect("a version makes a header"));
+        resp.add_header(Header::from_bytes("ETag", tag).expect("a quoted number is a valid header value"));
     }
-    // A client that is gone needs no answer.
+    // An error means that the client has closed its connection.
     _ = req.respond(resp);
 }
