--- a/standins/src/bench.rs
+++ b/standins/src/bench.rs
@@ -1,4 +1,4 @@
-//! `standins bench`: what a pair of daemons adds to a request, and what it costs.
+//! `standins bench`: latency, processor time and memory that a pair of daemons adds to requests.
 
 use std::{
     io,
@@ -16,14 +16,14 @@
     proc::{Usage, usage},
 };
 
-/// Connections held open while threads and memory are read.
+/// Connections that are open while threads and memory are measured.
 const OPEN_CONNECTIONS: usize = 350;
-/// How long a closed loop runs.
-const RUN: Duration = Duration::from_secs(5);
+/// Duration of each loop.
+const LOOP_DURATION: Duration = Duration::from_secs(5);
 
-/// Where the requests go.
+/// Target of the requests of a loop.
 #[derive(Debug, Clone)]
-struct Aim {
+struct BenchTarget {
     name: &'static str,
     address: SocketAddr,
     path: &'static str,
@@ -42,28 +42,28 @@
     fleet.apply(&repository_file("samples/prairie.toml"))?;
     fleet.wait_for_endpoints(3)?;
     let (ingress, guard) = (&fleet.daemons[0], &fleet.daemons[1]);
-    let aims = [
-        Aim { name: "direct", address: fleet.endpoints[0].address, path: "/portal", ticketed: false },
-        Aim { name: "guard only", address: guard.callers, path: "/portal", ticketed: false },
-        Aim { name: "ingress+guard", address: ingress.callers, path: "/portal", ticketed: false },
-        Aim { name: "ticketed", address: ingress.callers, path: "/billing/charges", ticketed: true },
+    let targets = [
+        BenchTarget { name: "direct", address: fleet.endpoints[0].address, path: "/portal", ticketed: false },
+        BenchTarget { name: "guard only", address: guard.callers, path: "/portal", ticketed: false },
+        BenchTarget { name: "ingress+guard", address: ingress.callers, path: "/portal", ticketed: false },
+        BenchTarget { name: "ticketed", address: ingress.callers, path: "/billing/charges", ticketed: true },
     ];
-    println!("open loop, {rate} requests/s, {} s each; times in ms", RUN.as_secs());
+    println!("open loop, {rate} requests/s, {} s each; times in ms", LOOP_DURATION.as_secs());
     println!("{:14} {:>9} {:>8} {:>8} {:>8} {:>14}", "path", "requests", "p50", "p99", "p99.9", "cpu us/request");
-    for aim in &aims {
+    for target in &targets {
         let before = cpu(&fleet)?;
-        let times = open_loop(aim, rate);
+        let times = open_loop(target, rate);
         let spent = cpu(&fleet)? - before;
-        print_row(aim.name, &times, spent);
+        print_row(target.name, &times, spent);
     }
-    println!("closed loop, 32 callers, {} s each", RUN.as_secs());
-    // Ticketed work opens a connection a request to its endpoint, and loopback runs out of ports.
-    for aim in aims.iter().filter(|it| !it.ticketed) {
+    println!("closed loop, 32 callers, {} s each", LOOP_DURATION.as_secs());
+    // A ticketed request opens a connection to its endpoint; a closed loop of them exhausts the ports of loopback.
+    for target in targets.iter().filter(|it| !it.ticketed) {
         let before = cpu(&fleet)?;
-        let times = closed_loop(aim, 32);
+        let times = closed_loop(target, 32);
         let spent = cpu(&fleet)? - before;
-        print_row(aim.name, &times, spent);
-        println!("{:14} {:>9.0} requests/s", "", times.len() as f64 / RUN.as_secs_f64());
+        print_row(target.name, &times, spent);
+        println!("{:14} {:>9.0} requests/s", "", times.len() as f64 / LOOP_DURATION.as_secs_f64());
     }
     print_memory(&fleet)?;
     fleet.close();
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-/// A connection that has been used once and stays open.
+/// Opens a connection, sends one request on it, and keeps it open.
 fn hold_open(address: SocketAddr) -> io::Result<TcpStream> {
     use std::io::{Read as _, Write as _};
     let mut stream = TcpStream::connect(address)?;
@@ -103,15 +103,15 @@
     if count == 0 { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(stream) }
 }
 
-fn open_loop(aim: &Aim, rate: f64) -> Histogram<u64> {
+fn open_loop(target: &BenchTarget, rate: f64) -> Histogram<u64> {
     const WORKERS: u32 = 32;
     let start = Instant::now() + Duration::from_millis(50);
     let gap = Duration::from_secs_f64(1.0 / rate);
-    gather(WORKERS, |at| {
-        let client = Client::new(aim);
-        let mut times = new_times();
+    run_workers(WORKERS, |at| {
+        let client = Client::new(target);
+        let mut times = new_histogram();
         let mut due = start + gap * at;
-        while due < start + RUN {
+        while due < start + LOOP_DURATION {
             thread::sleep(due.saturating_duration_since(Instant::now()));
             if client.call() {
                 times.record(due.elapsed().as_micros() as u64).expect("the histogram grows");
@@ -122,11 +122,11 @@
     })
 }
 
-fn closed_loop(aim: &Aim, callers: u32) -> Histogram<u64> {
-    let end = Instant::now() + RUN;
-    gather(callers, |_| {
-        let client = Client::new(aim);
-        let mut times = new_times();
+fn closed_loop(target: &BenchTarget, callers: u32) -> Histogram<u64> {
+    let end = Instant::now() + LOOP_DURATION;
+    run_workers(callers, |_| {
+        let client = Client::new(target);
+        let mut times = new_histogram();
         while Instant::now() < end {
             let started = Instant::now();
             if client.call() {
@@ -137,8 +137,8 @@
     })
 }
 
-fn gather(workers: u32, work: impl Fn(u32) -> Histogram<u64> + Sync) -> Histogram<u64> {
-    let mut all = new_times();
+fn run_workers(workers: u32, work: impl Fn(u32) -> Histogram<u64> + Sync) -> Histogram<u64> {
+    let mut all = new_histogram();
     thread::scope(|scope| {
         let work = &work;
         let running: Vec<_> = (0..workers).map(|at| scope.spawn(move || work(at))).collect();
@@ -149,39 +149,39 @@
     all
 }
 
-fn new_times() -> Histogram<u64> {
+fn new_histogram() -> Histogram<u64> {
     Histogram::new(3).expect("three digits are a valid precision")
 }
 
 struct Client<'a> {
-    aim: &'a Aim,
+    target: &'a BenchTarget,
     agent: Agent,
     tickets: std::cell::RefCell<Vec<String>>,
 }
 
 impl<'a> Client<'a> {
-    fn new(aim: &'a Aim) -> Self {
+    fn new(target: &'a BenchTarget) -> Self {
         let config = Agent::config_builder().http_status_as_error(false).max_idle_connections_per_host(1).build();
-        Self { aim, agent: Agent::new_with_config(config), tickets: Default::default() }
+        Self { target, agent: Agent::new_with_config(config), tickets: Default::default() }
     }
 
-    /// Makes a call; false if it was not answered well.
+    /// Sends a request; true if the whole response arrived with status 200.
     fn call(&self) -> bool {
-        let Aim { address, path, .. } = self.aim;
+        let BenchTarget { address, path, .. } = self.target;
         let mut req = self.agent.post(format!("http://{address}{path}"));
         req = req.header("Authorization", format!("Bearer {TOKEN}"));
-        if self.aim.ticketed {
+        if self.target.ticketed {
             let Some(ticket) = self.ticket() else { return false };
             req = req.header("Jayreach-Ticket", ticket);
         }
-        let answer = req.send("body");
-        answer.is_ok_and(|mut it| it.status() == 200 && it.body_mut().read_to_vec().is_ok())
+        let resp = req.send("body");
+        resp.is_ok_and(|mut it| it.status() == 200 && it.body_mut().read_to_vec().is_ok())
     }
 
     fn ticket(&self) -> Option<String> {
         let mut tickets = self.tickets.borrow_mut();
         if tickets.is_empty() {
-            let uri = format!("http://{}/.jayreach/tickets?count=500", self.aim.address);
+            let uri = format!("http://{}/.jayreach/tickets?count=500", self.target.address);
             let text = self.agent.post(uri).send_empty().ok()?.body_mut().read_to_string().ok()?;
             *tickets = serde_json::from_str(&text).ok()?;
         }
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! `standins demo`: both deployments as separate processes, under load, with one endpoint broken.
+//! `standins demo`: runs both sample deployments as separate processes under load while one endpoint fails.
 
 use std::{io, thread, time::Duration};
 
@@ -9,48 +9,51 @@
     load::{self, Load, Record, ReportedOutcome},
 };
 
-/// How many daemons a deployment gets.
+/// Number of daemons of a deployment.
 const DAEMONS: usize = 6;
-/// For how long each deployment is under load.
+/// Duration of the load on each deployment.
 const DURATION: Duration = Duration::from_secs(12);
-/// When the endpoint breaks.
-const BREAK_AFTER: Duration = Duration::from_secs(4);
+/// Time from the start of the load to the endpoint's fault.
+const FAULT_AFTER: Duration = Duration::from_secs(4);
 
-/// Runs the demo.
+/// Runs the demo and prints its tables; false if a history check failed.
 pub fn run(rate: f64, seed: u64) -> io::Result<bool> {
-    let mut holds = true;
+    let mut passed = true;
     for deployment in [prairie(), pila_verde()] {
-        holds &= show(&deployment, rate, seed)?;
+        passed &= run_deployment(&deployment, rate, seed)?;
     }
-    Ok(holds)
+    Ok(passed)
 }
 
-fn show(deployment: &Deployment, rate: f64, seed: u64) -> io::Result<bool> {
+fn run_deployment(deployment: &Deployment, rate: f64, seed: u64) -> io::Result<bool> {
     println!("== {}: {DAEMONS} daemons, {:?}", deployment.name, deployment.services);
     let fleet = deployment.start(DAEMONS)?;
     let load =
         Load { mix: deployment.mix.clone(), rate, duration: DURATION, seed, workers: 128, retries_unknown: true };
-    let broken = fleet.endpoints[0].address;
+    let faulty = fleet.endpoints[0].address;
     let history = thread::scope(|scope| {
         let callers = fleet.callers();
         let load = &load;
         let running = scope.spawn(move || load::run(load, &callers));
-        thread::sleep(BREAK_AFTER);
-        println!("   after {} s, {broken} answers its health checks and fails all real work", BREAK_AFTER.as_secs());
+        thread::sleep(FAULT_AFTER);
+        println!(
+            "   after {} s, endpoint {faulty} fails all requests and still announces itself as serving",
+            FAULT_AFTER.as_secs()
+        );
         let fault = EndpointFault { errors: 1.0, ..EndpointFault::default() };
-        let broke = fleet.set_fault(broken, &fault);
+        let fault_set = fleet.set_fault(faulty, &fault);
         let history = running.join().expect("the load does not panic");
-        broke.map(|()| history)
+        fault_set.map(|()| history)
     })?;
     load::print(&load::summarize(&load, &history));
     match last_error(&history) {
-        Some(it) => println!("   last error {:.1} s after the break", (it.saturating_sub(BREAK_AFTER)).as_secs_f64()),
+        Some(it) => println!("   last error {:.1} s after the fault", (it.saturating_sub(FAULT_AFTER)).as_secs_f64()),
         None => println!("   no caller saw an error"),
     }
-    let verdict = history::check(&load.mix, &history, &fleet.read_run_logs()?);
-    println!("   {verdict}");
+    let report = history::check(&load.mix, &history, &fleet.read_run_logs()?);
+    println!("   {report}");
     fleet.close();
-    Ok(verdict.passed())
+    Ok(report.passed())
 }
 
 fn last_error(history: &[Record]) -> Option<Duration> {
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of the brief, at their sizes of today.
+//! The two sample deployments, Prairie and Pila Verde: services, endpoints, targets and load.
 
 use std::{
     io,
@@ -11,20 +11,20 @@
     load::RequestClass,
 };
 
-/// A deployment: its data centres, services and mix of work.
+/// A deployment: data centres, services, endpoints and mix of requests.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Its name.
+    /// Name for printed tables.
     pub name: &'static str,
-    /// Its targets file, below the repository's root.
+    /// Path of its targets file, relative to the repository's root.
     pub targets: &'static str,
-    /// How many data centres it has.
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Services and how many endpoints each has.
+    /// Services and the number of their endpoints.
     pub services: &'static [(&'static str, usize)],
-    /// What each endpoint is like.
+    /// Slots and timing of each endpoint.
     pub endpoint_profile: EndpointProfile,
-    /// The mix of work.
+    /// Classes of requests; their shares add up to 100.
     pub mix: Vec<RequestClass>,
 }
 
@@ -32,7 +32,7 @@
     RequestClass { name, path, ticketed, percent, lateness: Duration::from_secs(secs) }
 }
 
-/// Prairie Public Access Network Authority.
+/// Prairie Public Access Network Authority: portal, vouchers and billing in three data centres.
 pub fn prairie() -> Deployment {
     Deployment {
         name: "Prairie",
@@ -48,7 +48,7 @@
     }
 }
 
-/// Pila Verde Recolección.
+/// Pila Verde Recolección: directory, intake and ledger in four data centres.
 pub fn pila_verde() -> Deployment {
     Deployment {
         name: "Pila Verde",
@@ -65,8 +65,8 @@
 }
 
 impl Deployment {
-    /// Starts the deployment with `daemons` daemons, applies its targets, and waits until all is
-    /// seen everywhere.
+    /// Starts the deployment with `daemons` daemons, applies its targets, and waits until every daemon lists all
+    /// endpoints as eligible.
     pub fn start(&self, daemons: usize) -> io::Result<Fleet> {
         let mut fleet = Fleet::start()?;
         for at in 0..daemons {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A file of the repository.
+/// Path of a file, given relative to the repository's root.
 pub fn repository_file(name: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent();
     root.expect("the stand-ins are a folder of the repository").join(name)
--- a/standins/src/gray.rs
+++ b/standins/src/gray.rs
@@ -1,58 +1,58 @@
-//! `standins gray`: detection time against false ejections, as a curve over seeded traces.
+//! `standins gray`: detection time and false ejections of several ejection rules on simulated traces.
 //!
-//! A trace is one service's work for some hours: samples at each endpoint's rate, with single
-//! errors, short error bursts, trouble that all endpoints share, and gray faults of one endpoint.
-//! The project's detector runs at several thresholds beside two published rules: ejection after
-//! consecutive errors, and success-rate outliers (both with the defaults of a widely used proxy).
+//! A trace holds the requests of one service for some hours, with single errors, short bursts of errors, failures
+//! that all endpoints share, and gray failures of one endpoint. The failure detector runs at several thresholds; for
+//! comparison, two published rules run with the defaults of a widely used proxy: consecutive errors and success-rate
+//! outliers.
 
 use std::fmt;
 
 use jayreach::decide::{Evidence, FailureDetector, Sample, failure_level, median_failure_rate};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
-/// How long an ejected endpoint stays out, in seconds; the same for every rule.
-const HOLD: f64 = 30.0;
-/// The share of single errors of a healthy endpoint.
-const BASE_ERRORS: f64 = 0.001;
-/// How long a gray fault lasts, in seconds.
-const FAULT_LENGTH: f64 = 60.0;
-/// The time between the starts of two events of a trace, in seconds.
-const EVENT_GAP: f64 = 180.0;
-/// How often the outlier rule looks, in seconds.
-const OUTLIER_INTERVAL: f64 = 10.0;
-/// How many requests an endpoint must have had for the outlier rule.
-const OUTLIER_VOLUME: u32 = 100;
-/// How many standard deviations below the mean an outlier is.
-const OUTLIER_FACTOR: f64 = 1.9;
+/// How long an ejected endpoint gets no requests; the same for every rule.
+const EJECTION_SECONDS: f64 = 30.0;
+/// Error rate of a healthy endpoint.
+const BASE_ERROR_RATE: f64 = 0.001;
+/// Duration of a gray failure.
+const FAULT_SECONDS: f64 = 60.0;
+/// Time between the starts of two events of a trace.
+const EVENT_INTERVAL_SECONDS: f64 = 180.0;
+/// Interval of the outlier rule.
+const OUTLIER_INTERVAL_SECONDS: f64 = 10.0;
+/// Requests in an interval from which the outlier rule considers an endpoint.
+const OUTLIER_MIN_REQUESTS: u32 = 100;
+/// Standard deviations below the mean from which a success rate is an outlier.
+const OUTLIER_DEVIATIONS: f64 = 1.9;
 
-/// A service whose work is traced.
+/// A simulated service.
 #[derive(Debug, Clone, Copy)]
-pub struct Service {
-    /// The deployment's name.
+pub struct TracedService {
+    /// Name of the deployment.
     pub name: &'static str,
-    /// How many endpoints it has.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Requests a second at each of them.
+    /// Requests per second at each endpoint.
     pub rate: f64,
 }
 
-/// Prairie's vouchers: 10 endpoints, busy.
-pub const PRAIRIE: Service = Service { name: "Prairie", endpoints: 10, rate: 20.0 };
-/// Pila Verde's intake: 8 endpoints, few requests.
-pub const PILA_VERDE: Service = Service { name: "Pila Verde", endpoints: 8, rate: 4.0 };
+/// Prairie's vouchers: 10 endpoints at a high rate.
+pub const PRAIRIE: TracedService = TracedService { name: "Prairie", endpoints: 10, rate: 20.0 };
+/// Pila Verde's intake: 8 endpoints at a low rate.
+pub const PILA_VERDE: TracedService = TracedService { name: "Pila Verde", endpoints: 8, rate: 4.0 };
 
-/// How an endpoint is ejected.
+/// When an endpoint is ejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Rule {
-    /// The project's detector with so much evidence.
+pub enum EjectionRule {
+    /// By the failure detector, at this threshold of evidence in nats.
     Detector(f64),
-    /// So many errors in a row.
+    /// After this number of consecutive errors.
     Consecutive(u32),
-    /// A success rate far below the mean.
+    /// When the success rate is far below the mean of the endpoints.
     Outlier,
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for EjectionRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Detector(limit) => write!(f, "evidence {limit:>4.1}"),
@@ -62,16 +62,16 @@
     }
 }
 
-/// An event of a trace.
+/// An event of a trace; shares and rates from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
-    /// One endpoint fails a share of its work.
+    /// One endpoint fails this share of its requests.
     Gray(f64),
-    /// One endpoint fails all work for so many seconds, then none, and again.
+    /// One endpoint fails all requests in every other period of this many seconds.
     Flap(f64),
     /// One healthy endpoint has a short burst of errors.
     Burst,
-    /// All endpoints fail a share of their work for a while: a slow-down or an overload.
+    /// All endpoints fail this share of their requests for a while, as in an overload.
     Common(f64),
 }
 
@@ -88,22 +88,22 @@
     Event::Burst,
 ];
 
-/// What a rule did on a trace.
+/// Result of a rule on a trace.
 #[derive(Debug, Clone)]
-pub struct Outcome {
-    /// The rule.
-    pub rule: Rule,
-    /// The mean time to the first ejection, in seconds, for gray faults of all, half and a fifth
-    /// of the work and for the two flaps; a fault that was missed counts its whole length.
-    pub detection: [f64; 5],
-    /// Ejections of healthy endpoints, for each endpoint and day.
+pub struct RuleResult {
+    /// Rule that was applied.
+    pub rule: EjectionRule,
+    /// Mean time to the first ejection, in seconds, for gray failures of all, half and a fifth of the requests and
+    /// for the two flapping periods. A missed failure counts with its whole duration.
+    pub detection_times: [f64; 5],
+    /// Ejections of healthy endpoints, per endpoint and day.
     pub false_ejections: f64,
 }
 
-/// Runs a rule over `hours` of a service's trace.
-pub fn run(service: Service, rule: Rule, hours: f64, seed: u64) -> Outcome {
+/// Applies a rule to a trace of `hours`, drawn from `seed`.
+pub fn run(service: TracedService, rule: EjectionRule, hours: f64, seed: u64) -> RuleResult {
     let mut trace = Trace::new(service, rule, seed);
-    let events = (hours * 3600.0 / EVENT_GAP) as usize;
+    let events = (hours * 3600.0 / EVENT_INTERVAL_SECONDS) as usize;
     let mut found: Vec<(Event, f64)> = Vec::new();
     for number in 0..events {
         let event = EVENTS[number % EVENTS.len()];
@@ -116,49 +116,54 @@
     };
     let faults = [Event::Gray(1.0), Event::Gray(0.5), Event::Gray(0.2), Event::Flap(1.0), Event::Flap(10.0)];
     let endpoint_days = service.endpoints as f64 * hours / 24.0;
-    Outcome { rule, detection: faults.map(mean), false_ejections: f64::from(trace.false_ejections) / endpoint_days }
+    RuleResult {
+        rule,
+        detection_times: faults.map(mean),
+        false_ejections: f64::from(trace.false_ejections) / endpoint_days,
+    }
 }
 
 #[derive(Clone, Default)]
 struct Endpoint {
     detector: FailureDetector,
-    in_a_row: u32,
-    good: u32,
-    bad: u32,
-    out_until: f64,
+    consecutive_failures: u32,
+    successes: u32,
+    failures: u32,
+    ejected_until: f64,
 }
 
 struct Trace {
-    service: Service,
-    rule: Rule,
+    service: TracedService,
+    rule: EjectionRule,
     rng: SmallRng,
     now: f64,
-    looked: f64,
+    outliers_checked: f64,
     endpoints: Vec<Endpoint>,
     false_ejections: u32,
 }
 
 impl Trace {
-    fn new(service: Service, rule: Rule, seed: u64) -> Self {
+    fn new(service: TracedService, rule: EjectionRule, seed: u64) -> Self {
         let endpoints = vec![Endpoint::default(); service.endpoints];
         let rng = SmallRng::seed_from_u64(seed);
-        Self { service, rule, rng, now: 0.0, looked: 0.0, endpoints, false_ejections: 0 }
+        Self { service, rule, rng, now: 0.0, outliers_checked: 0.0, endpoints, false_ejections: 0 }
     }
 
-    /// Runs one event and the quiet after it; returns when the faulty endpoint was first ejected.
+    /// Simulates one event at endpoint `at` and the time until the next event. Returns the time to the first ejection
+    /// of the faulty endpoint, in seconds.
     fn run_event(&mut self, event: Event, at: usize) -> f64 {
         let start = self.now;
-        let mut detected = FAULT_LENGTH;
-        while self.now < start + EVENT_GAP {
-            // The next request of the whole service goes to a random endpoint that is in.
+        let mut detected = FAULT_SECONDS;
+        while self.now < start + EVENT_INTERVAL_SECONDS {
+            // The service's next request goes to a random endpoint; requests to an ejected one are left out.
             let total = self.service.rate * self.service.endpoints as f64;
             self.now -= (1.0 - self.rng.random::<f64>()).ln() / total;
             let since = self.now - start;
             let to = self.rng.random_range(0..self.service.endpoints);
-            if self.endpoints[to].out_until > self.now {
+            if self.endpoints[to].ejected_until > self.now {
                 continue;
             }
-            let faulty = to == at && is_fault(event) && since < FAULT_LENGTH;
+            let faulty = to == at && is_fault(event) && since < FAULT_SECONDS;
             let failed = self.rng.random_bool(failure_rate(event, to == at, since));
             if self.observe(to, failed) {
                 if faulty {
@@ -171,26 +176,26 @@
         detected
     }
 
-    /// Takes a sample in; whether the endpoint is ejected by it.
+    /// Records a sample; true if it ejects the endpoint.
     fn observe(&mut self, at: usize, failed: bool) -> bool {
         let ejected = match self.rule {
-            Rule::Detector(limit) => {
+            EjectionRule::Detector(limit) => {
                 let others = self.endpoints.iter().enumerate().filter(|it| it.0 != at);
                 let mut levels: Vec<u8> = others.map(|it| failure_level(it.1.detector.failure_rate())).collect();
                 let baseline = median_failure_rate(&mut levels);
                 let sample = if failed { Sample::Bad } else { Sample::Good };
                 self.endpoints[at].detector.record(sample, baseline, limit) == Evidence::Bad
             }
-            Rule::Consecutive(count) => {
+            EjectionRule::Consecutive(count) => {
                 let it = &mut self.endpoints[at];
-                it.in_a_row = if failed { it.in_a_row + 1 } else { 0 };
-                it.in_a_row >= count
+                it.consecutive_failures = if failed { it.consecutive_failures + 1 } else { 0 };
+                it.consecutive_failures >= count
             }
-            Rule::Outlier => {
+            EjectionRule::Outlier => {
                 let it = &mut self.endpoints[at];
-                it.good += u32::from(!failed);
-                it.bad += u32::from(failed);
-                return self.look(at);
+                it.successes += u32::from(!failed);
+                it.failures += u32::from(failed);
+                return self.eject_outliers(at);
             }
         };
         if ejected {
@@ -200,34 +205,36 @@
     }
 
     fn eject(&mut self, at: usize) {
-        self.endpoints[at] = Endpoint { out_until: self.now + HOLD, ..Endpoint::default() };
+        self.endpoints[at] = Endpoint { ejected_until: self.now + EJECTION_SECONDS, ..Endpoint::default() };
     }
 
-    /// The outlier rule looks at all endpoints every interval; whether `at` is ejected by it.
-    fn look(&mut self, at: usize) -> bool {
-        if self.now - self.looked < OUTLIER_INTERVAL {
+    /// Applies the outlier rule to all endpoints once an interval; true if it ejects `at`.
+    fn eject_outliers(&mut self, at: usize) -> bool {
+        if self.now - self.outliers_checked < OUTLIER_INTERVAL_SECONDS {
             return false;
         }
-        self.looked = self.now;
-        let rate = |it: &Endpoint| f64::from(it.good) / f64::from((it.good + it.bad).max(1));
-        let busy: Vec<_> = self.endpoints.iter().filter(|it| it.good + it.bad >= OUTLIER_VOLUME).map(rate).collect();
-        let mean = busy.iter().sum::<f64>() / busy.len().max(1) as f64;
-        let variance = busy.iter().map(|it| (it - mean).powi(2)).sum::<f64>() / busy.len().max(1) as f64;
-        let limit = mean - OUTLIER_FACTOR * variance.sqrt();
-        let mut hit = false;
+        self.outliers_checked = self.now;
+        let rate = |it: &Endpoint| f64::from(it.successes) / f64::from((it.successes + it.failures).max(1));
+        let success_rates: Vec<_> =
+            self.endpoints.iter().filter(|it| it.successes + it.failures >= OUTLIER_MIN_REQUESTS).map(rate).collect();
+        let mean = success_rates.iter().sum::<f64>() / success_rates.len().max(1) as f64;
+        let variance =
+            success_rates.iter().map(|it| (it - mean).powi(2)).sum::<f64>() / success_rates.len().max(1) as f64;
+        let limit = mean - OUTLIER_DEVIATIONS * variance.sqrt();
+        let mut ejected = false;
         for index in 0..self.endpoints.len() {
             let it = &mut self.endpoints[index];
-            let enough = it.good + it.bad >= OUTLIER_VOLUME && busy.len() >= 5;
+            let enough = it.successes + it.failures >= OUTLIER_MIN_REQUESTS && success_rates.len() >= 5;
             let out = enough && rate(it) < limit;
-            (it.good, it.bad) = (0, 0);
+            (it.successes, it.failures) = (0, 0);
             if out {
                 self.eject(index);
-                hit |= index == at;
-                // Others than the one being served are counted here, since nobody asks for them.
+                ejected |= index == at;
+                // Counts an ejection of any endpoint but `at` as false; the caller classifies that of `at`.
                 self.false_ejections += u32::from(index != at);
             }
         }
-        hit
+        ejected
     }
 }
 
@@ -237,22 +244,22 @@
 
 fn failure_rate(event: Event, is_target: bool, since: f64) -> f64 {
     let rate = match event {
-        Event::Gray(share) if is_target && since < FAULT_LENGTH => share,
-        Event::Flap(period) if is_target && since < FAULT_LENGTH && in_first_half(since, period) => 1.0,
+        Event::Gray(share) if is_target && since < FAULT_SECONDS => share,
+        Event::Flap(period) if is_target && since < FAULT_SECONDS && is_failing_period(since, period) => 1.0,
         Event::Burst if is_target && since < 1.0 => 0.3,
         Event::Common(share) if since < 30.0 => share,
         _ => 0.0,
     };
-    rate.max(BASE_ERRORS)
+    rate.max(BASE_ERROR_RATE)
 }
 
-/// Whether a flapping endpoint is in the bad half of its period.
-fn in_first_half(since: f64, half: f64) -> bool {
+/// Whether a flapping endpoint fails now: `half` is the length of a failing or healthy period, in seconds.
+fn is_failing_period(since: f64, half: f64) -> bool {
     ((since / half) as u64).is_multiple_of(2)
 }
 
-/// Prints the curve of one service.
-pub fn print(service: Service, hours: f64, seed: u64) {
+/// Prints a table of all rules for one service.
+pub fn print(service: TracedService, hours: f64, seed: u64) {
     println!(
         "{}: {} endpoints at {} requests/s each, {hours} h, seed {seed}",
         service.name, service.endpoints, service.rate
@@ -262,11 +269,11 @@
         "rule", "all s", "half s", "fifth s", "flap 1s", "flap 10s", "false/endpoint-day"
     );
     let limits = [4.0, 6.0, 8.0, 11.0, 14.0, 18.0, 24.0];
-    let mut rules: Vec<_> = limits.into_iter().map(Rule::Detector).collect();
-    rules.extend([Rule::Consecutive(5), Rule::Outlier]);
+    let mut rules: Vec<_> = limits.into_iter().map(EjectionRule::Detector).collect();
+    rules.extend([EjectionRule::Consecutive(5), EjectionRule::Outlier]);
     for rule in rules {
         let it = run(service, rule, hours, seed);
-        let [all, half, fifth, flap_1, flap_10] = it.detection;
+        let [all, half, fifth, flap_1, flap_10] = it.detection_times;
         println!(
             "{:16} {all:>8.2} {half:>8.2} {fifth:>8.2} {flap_1:>8.2} {flap_10:>9.2} {:>22.2}",
             it.rule.to_string(),
--- a/standins/src/overload.rs
+++ b/standins/src/overload.rs
@@ -1,7 +1,7 @@
-//! `standins overload`: one service at several times its capacity, through real processes.
+//! `standins overload`: loads one service with up to four times its capacity, through real processes.
 //!
-//! The same load runs on two configurations: one with importances, and one in which all classes
-//! matter alike, which makes the queue at the guard serve the most urgent first.
+//! The same load runs on two configurations: one with a different importance for each class, and one with equal
+//! importances, with which the guard's queue serves the earliest deadline first.
 
 use std::{fs, io, thread, time::Duration};
 
@@ -12,21 +12,20 @@
     load::{self, Load, ReportedOutcome, RequestClass, Summary},
 };
 
-/// Endpoints of the service.
+/// Number of endpoints of the service.
 const ENDPOINTS: usize = 4;
-/// What each is like.
 const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 5, service_ms: 100, cold_start_ms: 0 };
-/// The service's capacity, in requests a second.
+/// Capacity of the service, in requests per second.
 const CAPACITY: f64 =
     (ENDPOINTS * ENDPOINT_PROFILE.slots as usize) as f64 * 1000.0 / ENDPOINT_PROFILE.service_ms as f64;
-/// The loads, in shares of the capacity.
-const LOADS: [f64; 5] = [0.8, 1.0, 1.5, 2.0, 4.0];
-/// How long each load lasts.
-const DURATION: Duration = Duration::from_secs(10);
-/// How long all endpoints are stalled.
-const STALL: Duration = Duration::from_secs(3);
+/// Loads, as multiples of the capacity.
+const LOAD_FACTORS: [f64; 5] = [0.8, 1.0, 1.5, 2.0, 4.0];
+/// Duration of each load.
+const LOAD_DURATION: Duration = Duration::from_secs(10);
+/// How long all endpoints are paused.
+const PAUSE: Duration = Duration::from_secs(3);
 
-/// The targets; the numbers stand for the importances of the three classes.
+/// Targets with these importances of the classes charge, voucher and lookup.
 fn targets(importances: [u8; 3]) -> String {
     let mut text = String::from("[service.mixed]\nfloor_percent = 60\nweighs = \"detection-time\"\n");
     let classes = [("charge", false), ("voucher", false), ("lookup", true)];
@@ -52,27 +51,27 @@
     ]
 }
 
-/// Runs all loads on both configurations, and a stall, and prints a table.
+/// Runs all loads on both configurations, then a pause of all endpoints, and prints a table.
 pub fn run(seed: u64) -> io::Result<()> {
     println!("capacity {CAPACITY} requests/s; 20% charges, 30% vouchers, 50% lookups; share in time by class");
     println!("{:14} {:>6} {:>9} {:>9} {:>9} {:>12}", "importances", "load", "charge", "voucher", "lookup", "useful/s");
     for importances in [[90, 60, 30], [50, 50, 50]] {
         let fleet = start(importances)?;
-        for share in LOADS {
+        for factor in LOAD_FACTORS {
             let load = Load {
                 mix: mix(),
-                rate: CAPACITY * share,
-                duration: DURATION,
+                rate: CAPACITY * factor,
+                duration: LOAD_DURATION,
                 seed,
                 workers: 512,
                 retries_unknown: false,
             };
             let history = load::run(&load, &fleet.callers());
-            print_row(importances, share, &load::summarize(&load, &history));
+            print_row(importances, factor, &load::summarize(&load, &history));
         }
         fleet.close();
     }
-    stall(seed)
+    run_pause(seed)
 }
 
 fn start(importances: [u8; 3]) -> io::Result<Fleet> {
@@ -91,26 +90,26 @@
     Ok(fleet)
 }
 
-fn print_row(importances: [u8; 3], share: f64, summaries: &[Summary]) {
+fn print_row(importances: [u8; 3], factor: f64, summaries: &[Summary]) {
     let in_time = |it: &Summary| 100.0 * it.in_time as f64 / it.requests.max(1) as f64;
     let useful: usize = summaries.iter().map(|it| it.in_time).sum();
     let [charge, voucher, lookup] = [0, 1, 2].map(|at| in_time(&summaries[at]));
     println!(
-        "{:14} {share:>5.1}x {charge:>8.2}% {voucher:>8.2}% {lookup:>8.2}% {:>12.1}",
+        "{:14} {factor:>5.1}x {charge:>8.2}% {voucher:>8.2}% {lookup:>8.2}% {:>12.1}",
         format!("{importances:?}"),
-        useful as f64 / DURATION.as_secs_f64()
+        useful as f64 / LOAD_DURATION.as_secs_f64()
     );
 }
 
-/// Pauses all endpoints for a while under lookups at 0.8 of the capacity, and counts the runs that
-/// were more than one an operation.
-fn stall(seed: u64) -> io::Result<()> {
+/// Pauses all endpoints under a load of lookups at 0.8 of the capacity, and prints the share of executions beyond
+/// the first of an operation.
+fn run_pause(seed: u64) -> io::Result<()> {
     let fleet = start([90, 60, 30])?;
     let lookups = RequestClass { percent: 100, ..mix().remove(2) };
     let load = Load {
         mix: vec![lookups],
         rate: CAPACITY * 0.8,
-        duration: DURATION,
+        duration: LOAD_DURATION,
         seed,
         workers: 512,
         retries_unknown: false,
@@ -120,7 +119,7 @@
         let running = scope.spawn(|| load::run(&load, &callers));
         thread::sleep(Duration::from_secs(3));
         fleet.endpoints.iter().for_each(|it| it.process.signal(Signal::STOP));
-        thread::sleep(STALL);
+        thread::sleep(PAUSE);
         fleet.endpoints.iter().for_each(|it| it.process.signal(Signal::CONT));
         running.join().expect("the load does not panic")
     });
@@ -131,7 +130,7 @@
     println!(
         "stall of all endpoints for {} s at 0.8x, lookups only: {} operations, {refused} refused as not run, \
          {runs} runs, extra runs {:.1}%, answered well from 2 s after the stall {:.1}%",
-        STALL.as_secs(),
+        PAUSE.as_secs(),
         history.len(),
         100.0 * (runs as f64 / (history.len() - refused) as f64 - 1.0).max(0.0),
         100.0 * good as f64 / after.count().max(1) as f64
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -1,7 +1,7 @@
-//! `standins soak`: a deployment under load while faults drawn from the seed come and go.
+//! `standins soak`: runs a sample deployment under load while faults drawn from the seed begin and end.
 //!
-//! It ends with a verdict: what callers were told against what ran, configurations that never went
-//! back, and daemons that did not end of themselves (a broken invariant ends its process).
+//! Afterwards it checks that reported outcomes match what ran, that no daemon returned to an older configuration,
+//! that no daemon exited unexpectedly (a violated invariant ends the process), and that the fleet recovered.
 
 use std::{
     fmt, fs, io,
@@ -23,45 +23,45 @@
     store::StoreFault,
 };
 
-/// How many daemons the deployment gets.
+/// Number of daemons of the deployment.
 const DAEMONS: usize = 6;
-/// How long after the last fault the fleet has to be whole again.
-const HEALING: Duration = Duration::from_secs(20);
+/// How long the fleet may take to recover after the last fault.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(20);
 
-/// A fault that comes and goes.
+/// A fault that lasts for some seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A daemon is killed and comes back.
+    /// A daemon is killed and restarted.
     KillDaemon,
-    /// A daemon is paused past its peers' timeouts and goes on.
+    /// A daemon is paused (SIGSTOP) and resumed.
     FreezeDaemon,
-    /// A daemon is stopped gracefully and comes back.
+    /// A daemon is stopped gracefully and restarted.
     StopDaemon,
-    /// An endpoint is killed and comes back.
+    /// An endpoint is killed and restarted.
     KillEndpoint,
-    /// An endpoint is paused and goes on.
+    /// An endpoint is paused (SIGSTOP) and resumed.
     FreezeEndpoint,
-    /// An endpoint fails real work and answers its health checks.
+    /// An endpoint fails all requests and still announces itself as serving.
     Errors,
-    /// An endpoint fails all work for half a second, then none, and again.
+    /// An endpoint fails all requests in every other period of half a second.
     Flaps,
-    /// An endpoint never answers some work.
+    /// An endpoint hangs on half of its requests.
     Hangs,
-    /// An endpoint answers with less than it states.
+    /// An endpoint sends response bodies shorter than their Content-Length.
     Truncates,
-    /// An endpoint is slow and reports no load.
+    /// An endpoint is slow and reports a load of zero.
     SlowAndLying,
-    /// The store is away.
+    /// The store fails every call.
     StoreAway,
-    /// The store is slow.
+    /// The store delays every call.
     StoreSlow,
-    /// An operator's change loses its answers.
+    /// An operator's change takes effect while the store answers its writes with errors.
     LoseAnswers,
-    /// Two operators race.
+    /// Two operators apply a change at the same time.
     Race,
 }
 
-/// All faults.
+/// All faults, in the order from which the seed draws.
 pub const FAULTS: [Fault; 14] = [
     Fault::KillDaemon,
     Fault::FreezeDaemon,
@@ -79,38 +79,38 @@
     Fault::Race,
 ];
 
-/// What a soak is to be.
+/// Options of a soak.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// Seeds the load and the faults.
+    /// Seed of the load and the faults; even: Pila Verde, odd: Prairie.
     pub seed: u64,
-    /// For how long there are load and faults.
+    /// Duration of load and faults.
     pub duration: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The faults that may come.
+    /// Faults to draw from.
     pub faults: Vec<Fault>,
-    /// Whether a line is printed for each fault.
+    /// Whether to print a line for each fault.
     pub verbose: bool,
 }
 
-/// What a soak found.
+/// Result of a soak.
 #[derive(Debug, Clone)]
 pub struct SoakReport {
-    /// What callers were told against what ran.
+    /// Check of the reported outcomes.
     pub history: HistoryReport,
-    /// How often a daemon was seen with a lower version than before.
+    /// Number of times that a daemon's configuration version went back.
     pub reverts: usize,
-    /// Daemons that ended of themselves.
+    /// Daemons that exited unexpectedly.
     pub crashes: usize,
-    /// Changes that were accepted.
+    /// Configuration changes that were accepted, the first one included.
     pub accepted: usize,
-    /// Whether all daemons had the last version in force and saw all endpoints in the end.
+    /// Whether in the end all daemons had activated the last version and listed all endpoints as eligible.
     pub converged: bool,
 }
 
 impl SoakReport {
-    /// Whether every promise was kept.
+    /// Whether all checks passed.
     pub fn passed(&self) -> bool {
         self.history.passed() && self.reverts == 0 && self.crashes == 0 && self.converged
     }
@@ -127,7 +127,7 @@
     }
 }
 
-/// Runs a soak of the deployment that the seed picks.
+/// Runs a soak of the deployment that the seed selects; an error if the fleet can't be started or controlled.
 pub fn run(options: &SoakOptions) -> io::Result<SoakReport> {
     let deployment = if options.seed.is_multiple_of(2) { pila_verde() } else { prairie() };
     let mut fleet = deployment.start(DAEMONS)?;
@@ -143,17 +143,17 @@
     let locals: Vec<_> = fleet.daemons.iter().map(|it| it.local).collect();
     let over = AtomicBool::new(false);
     let mut soak = Soak::new(options, &deployment, &mut fleet);
-    let (history, reverts, broken) = thread::scope(|scope| {
+    let (history, reverts, injected) = thread::scope(|scope| {
         let running = scope.spawn(|| load::run(&load, &callers));
         let watching = scope.spawn(|| watch_versions(&locals, &over));
-        let broken = soak.break_things();
+        let injected = soak.inject_faults();
         let history = running.join().expect("the load does not panic");
         over.store(true, Ordering::Release);
-        (history, watching.join().expect("the watch does not panic"), broken)
+        (history, watching.join().expect("the watch does not panic"), injected)
     });
-    broken?;
+    injected?;
     let (accepted, crashes) = (soak.accepted, soak.crashes);
-    let converged = heal(&fleet, accepted)?;
+    let converged = wait_for_recovery(&fleet, accepted)?;
     let history = history::check(&load.mix, &history, &fleet.read_run_logs()?);
     fleet.close();
     Ok(SoakReport { history, reverts, crashes, accepted, converged })
@@ -177,13 +177,13 @@
         Self { options, targets, fleet, rng, accepted: 1, crashes: 0, changes: 0 }
     }
 
-    /// Brings faults about, one or two at a time, until the time is up.
-    fn break_things(&mut self) -> io::Result<()> {
+    /// Begins and ends faults, one or two at a time, until the duration has passed.
+    fn inject_faults(&mut self) -> io::Result<()> {
         let start = Instant::now();
         while start.elapsed() < self.options.duration {
             thread::sleep(Duration::from_millis(self.rng.random_range(500..2000)));
             let count = if self.rng.random_bool(0.3) { 2 } else { 1 };
-            let faults: Vec<_> = (0..count).map(|_| self.draw()).collect();
+            let faults: Vec<_> = (0..count).map(|_| self.draw_fault()).collect();
             self.crashes +=
                 self.fleet.daemons.iter_mut().filter_map(|it| it.process.has_exited().then_some(())).count();
             if self.options.verbose {
@@ -200,7 +200,7 @@
         Ok(())
     }
 
-    fn draw(&mut self) -> (Fault, usize) {
+    fn draw_fault(&mut self) -> (Fault, usize) {
         let fault = self.options.faults[self.rng.random_range(0..self.options.faults.len())];
         (fault, self.rng.random_range(0..1000))
     }
@@ -228,9 +228,9 @@
             Fault::LoseAnswers => {
                 let lose_answers = self.rng.random_range(1..5);
                 self.store_fault(&StoreFault { lose_answers, ..StoreFault::default() })?;
-                self.change(1)?;
+                self.apply_changes(1)?;
             }
-            Fault::Race => self.change(2)?,
+            Fault::Race => self.apply_changes(2)?,
         }
         Ok(())
     }
@@ -241,7 +241,7 @@
             Fault::KillDaemon | Fault::StopDaemon => self.fleet.restart_daemon(daemon)?,
             Fault::FreezeDaemon => {
                 self.fleet.daemons[daemon].process.signal(Signal::CONT);
-                // The other fault may have been to kill it.
+                // The other fault of the same turn may have killed it.
                 if self.fleet.daemons[daemon].process.has_exited() {
                     self.fleet.restart_daemon(daemon)?;
                 }
@@ -258,7 +258,7 @@
     }
 
     fn endpoint_fault(&self, at: usize, fault: &EndpointFault) {
-        // An endpoint that the other fault has killed or paused can't be told.
+        // An error is expected if the other fault has killed or paused the endpoint.
         _ = self.fleet.set_fault(self.fleet.endpoints[at].address, fault);
     }
 
@@ -266,8 +266,8 @@
         self.fleet.set_fault(self.fleet.store, fault)
     }
 
-    /// Makes as many changes at once as there are operators.
-    fn change(&mut self, operators: u32) -> io::Result<()> {
+    /// Applies one change for each operator, all at the same time.
+    fn apply_changes(&mut self, operators: u32) -> io::Result<()> {
         let files: Vec<_> = (0..operators)
             .map(|_| {
                 self.changes += 1;
@@ -290,7 +290,7 @@
     }
 }
 
-/// Watches the daemons' versions; counts those that went back within a daemon's life.
+/// Polls the daemons' versions until `over` is set; counts how often one went back within an incarnation.
 fn watch_versions(locals: &[SocketAddr], over: &AtomicBool) -> usize {
     let mut seen = vec![(0, 0); locals.len()];
     let mut reverts = 0;
@@ -306,13 +306,13 @@
     reverts
 }
 
-/// Waits until all daemons have the last accepted version in force and see all endpoints.
-fn heal(fleet: &Fleet, accepted: usize) -> io::Result<bool> {
-    let deadline = Instant::now() + HEALING;
+/// Waits until all daemons have activated the last accepted version and list all endpoints; false after a timeout.
+fn wait_for_recovery(fleet: &Fleet, accepted: usize) -> io::Result<bool> {
+    let deadline = Instant::now() + RECOVERY_LIMIT;
     while Instant::now() < deadline {
         let version = |it: &DaemonProcess| fetch_status(it.local).ok()?["config_version"].as_u64();
-        let sees_all = |it: &DaemonProcess| count_eligible(it.local).is_ok_and(|seen| seen == fleet.endpoints.len());
-        if fleet.daemons.iter().all(|it| version(it) == Some(accepted as u64) && sees_all(it)) {
+        let lists_all = |it: &DaemonProcess| count_eligible(it.local).is_ok_and(|seen| seen == fleet.endpoints.len());
+        if fleet.daemons.iter().all(|it| version(it) == Some(accepted as u64) && lists_all(it)) {
             return Ok(true);
         }
         thread::sleep(Duration::from_millis(100));
