--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -1,5 +1,5 @@
-//! `standins idle`: what a fleet of real daemons spends on control, and how fast changes and
-//! failures are seen, by its size.
+//! `standins idle`: what a fleet of daemons without requests uses, and how fast configuration changes and failures
+//! spread in it.
 
 use std::{
     fs, io,
@@ -22,19 +22,19 @@
     store::StoreCalls,
 };
 
-/// For how long the idle fleet is watched.
-const WATCHED: Duration = Duration::from_secs(10);
+/// How long the idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// What to measure.
+/// Size of the fleet and of its configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleOptions {
-    /// How many daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// How many changes of configuration.
+    /// Number of configuration changes.
     pub changes: usize,
-    /// How many endpoints announce themselves to each daemon.
+    /// Number of endpoints announced to each daemon.
     pub endpoints: u16,
-    /// Whether the configuration has the letter's size.
+    /// Whether the configuration has 22,000 routes and 190,000 accounts instead of 910 and 100.
     pub large: bool,
 }
 
@@ -60,43 +60,49 @@
 fn measure(fleet: &mut Fleet, options: IdleOptions) -> io::Result<()> {
     let count = options.daemons;
     let mut targets = if options.large { large_targets(22_000, 910, 190_000) } else { large_targets(910, 910, 100) };
-    let loaded = change(fleet, &targets)?;
-    println!("{count} daemons: first configuration in force everywhere after {} ms", worst(&loaded));
+    let loaded = apply_and_wait(fleet, &targets)?;
+    println!("{count} daemons: first configuration active everywhere after {} ms", worst_ms(&loaded));
     thread::sleep(Duration::from_secs(5));
     print_idle(fleet)?;
     let mut times = Vec::new();
     for number in 0..options.changes {
         targets.services[number % 910].floor_percent = 61 + (number % 30) as u8;
-        times.extend(change(fleet, &targets)?);
+        times.extend(apply_and_wait(fleet, &targets)?);
     }
     times.sort_unstable();
     let at = |share: f64| times.get((times.len() as f64 * share) as usize).map_or(0, |it| it.as_millis());
-    println!("{} changes: in force after p50 {} p99 {} worst {} ms", options.changes, at(0.5), at(0.99), worst(&times));
-    let lost = fleet.daemons.pop().expect("a fleet has a daemon");
+    println!(
+        "{} changes: active after p50 {} p99 {} worst {} ms",
+        options.changes,
+        at(0.5),
+        at(0.99),
+        worst_ms(&times)
+    );
+    let killed = fleet.daemons.pop().expect("a fleet has a daemon");
     let started = Instant::now();
-    drop(lost);
-    let seen = until_seen(fleet, started);
+    drop(killed);
+    let marked_down = wait_until_marked_down(fleet, started);
     println!(
-        "a killed daemon held to be down: first view {} ms, all views {} ms",
-        seen.0.as_millis(),
-        seen.1.as_millis()
+        "a killed daemon marked down: first view {} ms, all views {} ms",
+        marked_down.0.as_millis(),
+        marked_down.1.as_millis()
     );
     Ok(())
 }
 
-fn worst(times: &[Duration]) -> u128 {
+fn worst_ms(times: &[Duration]) -> u128 {
     times.iter().max().map_or(0, Duration::as_millis)
 }
 
 fn print_idle(fleet: &Fleet) -> io::Result<()> {
-    let (cpu, bytes, calls) = (cpu(fleet)?, loopback_bytes()?, calls(fleet)?);
-    thread::sleep(WATCHED);
+    let (cpu, bytes, store_calls) = (cpu(fleet)?, loopback_bytes()?, store_calls(fleet)?);
+    thread::sleep(IDLE_PERIOD);
     let count = fleet.daemons.len() as f64;
-    let seconds = WATCHED.as_secs_f64();
+    let seconds = IDLE_PERIOD.as_secs_f64();
     let share = (self::cpu(fleet)? - cpu).as_secs_f64() / seconds / count * 100.0;
     let rate = (loopback_bytes()? - bytes) as f64 / seconds / count / 1000.0;
-    let now = self::calls(fleet)?;
-    let reads = (now.reads + now.watches - calls.reads - calls.watches) as f64 / seconds;
+    let now = self::store_calls(fleet)?;
+    let reads = (now.reads + now.watches - store_calls.reads - store_calls.watches) as f64 / seconds;
     let usages: Vec<_> = fleet.daemons.iter().map(|it| usage(it.process.id())).collect::<Result<_, _>>()?;
     let memory = usages.iter().map(|it| it.resident).sum::<u64>() as f64 / count / 1e6;
     let threads = usages.iter().map(|it| it.threads).sum::<u64>() as f64 / count;
@@ -111,27 +117,27 @@
     fleet.daemons.iter().map(|it| usage(it.process.id()).map(|it| it.cpu)).sum()
 }
 
-/// All bytes that loopback has carried.
+/// Bytes that the loopback interface has received since the system's start.
 fn loopback_bytes() -> io::Result<u64> {
     let text = fs::read_to_string("/proc/net/dev")?;
     let line = text.lines().find_map(|it| it.trim().strip_prefix("lo:"));
     Ok(line.and_then(|it| it.split_whitespace().next()?.parse().ok()).unwrap_or(0))
 }
 
-fn calls(fleet: &Fleet) -> io::Result<StoreCalls> {
+fn store_calls(fleet: &Fleet) -> io::Result<StoreCalls> {
     let mut resp = ureq::get(format!("http://{}/stats", fleet.store)).call().map_err(io::Error::other)?;
     let text = resp.body_mut().read_to_string().map_err(io::Error::other)?;
     Ok(serde_json::from_str(&text)?)
 }
 
-/// Applies targets and returns how long each daemon took, from before the command began.
-fn change(fleet: &Fleet, targets: &Targets) -> io::Result<Vec<Duration>> {
+/// Applies targets and returns the time until each daemon had activated them.
+fn apply_and_wait(fleet: &Fleet, targets: &Targets) -> io::Result<Vec<Duration>> {
     let started = Instant::now();
     let store = StoreClient::new(fleet.store);
     let applied =
         apply(&store, targets, None, "stand-in", "idle", Duration::from_secs(30)).map_err(io::Error::other)?;
     let jayreach::store::Applied::Accepted { version, .. } = applied else {
-        return Err(io::Error::other("the change changed nothing"));
+        return Err(io::Error::other("the targets are already active"));
     };
     let wait = |local: SocketAddr| {
         while fetch_status(local).ok().and_then(|it| it["config_version"].as_u64()).unwrap_or(0) < version {
@@ -145,8 +151,8 @@
     }))
 }
 
-/// When the first and the last view held a killed daemon to be down.
-fn until_seen(fleet: &Fleet, started: Instant) -> (Duration, Duration) {
+/// Times from `started` until the first and the last daemon had marked the killed daemon as down.
+fn wait_until_marked_down(fleet: &Fleet, started: Instant) -> (Duration, Duration) {
     let wait = |local: SocketAddr| {
         while fetch_status(local).ok().and_then(|it| it["daemons_down"].as_u64()).unwrap_or(0) == 0 {
             thread::sleep(Duration::from_millis(20));
@@ -162,7 +168,7 @@
     (first, last)
 }
 
-/// Announces endpoints beside each daemon once a second; no one serves them.
+/// Announces endpoints to each daemon once a second until `over` is set; nothing listens at their addresses.
 fn announce(locals: &[SocketAddr], endpoints: u16, over: &AtomicBool) {
     let agent = ureq::Agent::new_with_defaults();
     while !over.load(Ordering::Acquire) {
@@ -176,8 +182,8 @@
                     state: AnnouncedState::Serving,
                     load: 0,
                 };
-                let body = serde_json::to_vec(&announcement).expect("an announcement can be coded");
-                // A daemon that was killed can't be told.
+                let body = serde_json::to_vec(&announcement).expect("an announcement can be encoded");
+                // An error is expected from a killed daemon.
                 _ = agent.post(format!("http://{local}/announce")).send(&body[..]);
             }
         }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -1,4 +1,4 @@
-//! `standins slopes`: what one unit of each thing costs, for docs/CAPACITY.md.
+//! `standins slopes`: cost of one row, change, route, account, decision and ticket, to estimate the needs of a fleet.
 
 use std::{
     hint::black_box,
@@ -20,17 +20,17 @@
 
 use crate::proc::usage;
 
-/// Endpoints beside each daemon at the letter's size (27,000 before 2,400).
+/// Endpoints of each daemon in a fleet of full size (27,000 endpoints, 2,400 daemons).
 const ENDPOINTS: usize = 11;
-/// Rows that differ between two tables while the fleet is in its ordinary churn.
+/// Rows that differ between two tables at the ordinary rate of changes.
 const DIFFERING: usize = 6;
-/// How often each measurement is made; the median is printed with the extremes.
-const TRIES: usize = 7;
+/// Repetitions of each measurement, of which the median and the extremes are printed.
+const REPETITIONS: usize = 7;
 
-/// Prints all slopes.
+/// Measures and prints all costs.
 pub fn run(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    // First, since later parts leave memory behind that would be used again.
+    // First, since freed memory of the other measurements would be reused and distort the resident size.
     tickets();
     exchanges();
     digests();
@@ -39,11 +39,11 @@
     decisions(&mut rng);
 }
 
-/// The median of several tries, with the least and the most, in the unit of `measure`.
+/// Median, minimum and maximum of several measurements, in the unit of `measure`.
 fn median(mut measure: impl FnMut() -> f64) -> (f64, f64, f64) {
-    let mut values: Vec<f64> = (0..TRIES).map(|_| measure()).collect();
+    let mut values: Vec<f64> = (0..REPETITIONS).map(|_| measure()).collect();
     values.sort_by(f64::total_cmp);
-    (values[TRIES / 2], values[0], values[TRIES - 1])
+    (values[REPETITIONS / 2], values[0], values[REPETITIONS - 1])
 }
 
 fn nanos_each(count: u32, mut act: impl FnMut()) -> f64 {
@@ -121,7 +121,7 @@
     encode(compare).len() + encode(compared).len() + deliver.map_or(0, |it| encode(it).len())
 }
 
-/// Bytes of an exchange's digests for other numbers of buckets, by the same codec.
+/// Prints the encoded size of digests and stamps in an anti-entropy exchange for several numbers of buckets.
 fn digests() {
     println!("# digests at 2,400 daemons, {DIFFERING} rows differ: bytes of digest and stamps an exchange");
     let stamps: Vec<_> = (0..2400).map(|it| (daemon_key(&format!("vm-{it}")), row(it, 1).stamp)).collect();
@@ -141,7 +141,7 @@
     }
 }
 
-/// How a change reaches all daemons: pushes with loss, and anti-entropy once a second.
+/// Simulates how a change reaches all daemons by lossy pushes and by one anti-entropy exchange a second.
 fn spread(rng: &mut SmallRng) {
     const HOP_MS: u32 = 25;
     println!("# spread of one change to 2,400 daemons: {HOP_MS} ms a push hop, one exchange a second each");
@@ -160,43 +160,44 @@
     }
 }
 
-/// When 99% and all have the change, in milliseconds, and how many pushes that took for each daemon.
+/// Simulates one spread. Returns the milliseconds until 99% and until all daemons have the change, and the number of
+/// pushes per daemon.
 fn spread_once(count: usize, fanout: u32, lost: f64, hop: u32, rng: &mut SmallRng) -> (u32, u32, f64) {
-    let mut knows = vec![false; count];
+    let mut informed = vec![false; count];
     let phases: Vec<u32> = (0..count).map(|_| rng.random_range(0..1000 / hop)).collect();
-    knows[0] = true;
-    let (mut news, mut known, mut pushes, mut most) = (vec![0], 1, 0_u64, 0);
+    informed[0] = true;
+    let (mut newly_informed, mut informed_count, mut pushes, mut reached_99_percent) = (vec![0], 1, 0_u64, 0);
     for step in 1.. {
         let mut next = Vec::new();
-        for _ in 0..news.len() as u32 * fanout {
+        for _ in 0..newly_informed.len() as u32 * fanout {
             pushes += 1;
             let to = rng.random_range(0..count);
-            if !rng.random_bool(lost) && !std::mem::replace(&mut knows[to], true) {
+            if !rng.random_bool(lost) && !std::mem::replace(&mut informed[to], true) {
                 next.push(to);
             }
         }
         for at in 0..count {
             let peer = rng.random_range(0..count);
             let due = phases[at] == step % (1000 / hop) && !rng.random_bool(lost);
-            if due && knows[at] != knows[peer] {
-                let learns = if knows[at] { peer } else { at };
-                knows[learns] = true;
-                next.push(learns);
+            if due && informed[at] != informed[peer] {
+                let receiver = if informed[at] { peer } else { at };
+                informed[receiver] = true;
+                next.push(receiver);
             }
         }
-        known += next.len();
-        news = next;
-        if most == 0 && known * 100 >= count * 99 {
-            most = step * hop;
+        informed_count += next.len();
+        newly_informed = next;
+        if reached_99_percent == 0 && informed_count * 100 >= count * 99 {
+            reached_99_percent = step * hop;
         }
-        if known == count {
-            return (most, step * hop, pushes as f64 / count as f64);
+        if informed_count == count {
+            return (reached_99_percent, step * hop, pushes as f64 / count as f64);
         }
     }
     unreachable!("anti-entropy reaches everyone")
 }
 
-/// Targets of the letter's size.
+/// Targets with these numbers of routes, services and accounts; `routes` are spread over 910 tenants.
 pub fn large_targets(routes: usize, services: usize, accounts: usize) -> Targets {
     let class = |(name, importance, idempotent): (&str, u8, bool)| Class {
         name: name.into(),
