--- a/standins/tests/end_to_end.rs
+++ b/standins/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes: store, daemons, endpoints, callers.
+//! End-to-end tests with a store, daemons and endpoints as separate processes.
 
 use std::{
     fs,
@@ -33,7 +33,7 @@
         fleet.add_endpoint(service, at % 2, ENDPOINT_PROFILE).expect("an endpoint");
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
-    fleet.wait_for_endpoints(4).expect("all endpoints are seen");
+    fleet.wait_for_endpoints(4).expect("all endpoints are eligible");
     fleet
 }
 
@@ -83,7 +83,7 @@
     assert_eq!(outcome(&again), (200, "done"));
     assert_eq!(again.body_mut().read_to_string().expect("a body"), "charge-1");
     assert_eq!(outcome(&other), (422, "not-run"));
-    assert_eq!(outcome(&refused), (401, "unknown"), "the ticket's work ran, so \"not-run\" would mislead");
+    assert_eq!(outcome(&refused), (401, "unknown"), "the ticket's operation ran, so the outcome must not be not-run");
     let runs = fleet.read_run_logs().expect("the run logs");
     assert_eq!(runs.iter().filter(|it| ***it == *"charge-1").count(), 1);
     assert!(!runs.iter().any(|it| **it == *"charge-2"));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn refusals_say_that_nothing_ran() {
+fn refused_requests_are_reported_as_not_run() {
     let fleet = small_fleet();
     let caller = fleet.callers()[0];
     let too_large = "x".repeat((1 << 20) + 1);
@@ -110,27 +110,32 @@
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_and_a_racing_one_names_the_winner() {
+fn a_change_is_activated_everywhere_and_a_concurrent_one_is_refused() {
     let fleet = small_fleet();
     let dir = std::env::temp_dir().join(format!("jayreach-change-{}", std::process::id()));
     fs::create_dir_all(&dir).expect("a folder");
     let shown = fleet.run_command(&["show"]).expect("the targets").1;
-    let (mine, theirs) = (dir.join("mine.toml"), dir.join("theirs.toml"));
-    fs::write(&mine, shown.replace("importance = 30", "importance = 31")).expect("a file");
-    fs::write(&theirs, shown.replace("importance = 30", "importance = 32")).expect("a file");
+    let (first, second) = (dir.join("mine.toml"), dir.join("theirs.toml"));
+    fs::write(&first, shown.replace("importance = 30", "importance = 31")).expect("a file");
+    fs::write(&second, shown.replace("importance = 30", "importance = 32")).expect("a file");
 
-    let applied = fleet.apply(&mine).expect("the change is accepted");
-    let lost = fleet.run_command(&["apply", path(&theirs), "--why", "racing", "--who", "second"]).expect("a command");
+    let applied = fleet.apply(&first).expect("the change is accepted");
+    let refused =
+        fleet.run_command(&["apply", path(&second), "--why", "racing", "--who", "second"]).expect("a command");
 
     assert!(applied.contains("in force in all 2 daemons"), "{applied}");
-    assert_eq!(lost.0, Some(3), "{}", lost.1);
-    assert!(lost.1.contains("version 2 is in force") && lost.1.contains("by operator (stand-in)"), "{}", lost.1);
+    assert_eq!(refused.0, Some(3), "{}", refused.1);
+    assert!(
+        refused.1.contains("version 2 is in force") && refused.1.contains("by operator (stand-in)"),
+        "{}",
+        refused.1
+    );
     let versions: Vec<_> =
         fleet.daemons.iter().map(|it| fetch_status(it.local).expect("a status")["config_version"].as_u64()).collect();
     assert_eq!(versions, [Some(2), Some(2)]);
     let audit = fleet.run_command(&["audit", "--last", "1"]).expect("a command").1;
     assert!(audit.contains("version 2") && audit.contains("~ class lookup"), "{audit}");
-    fs::remove_dir_all(dir).expect("the folder goes");
+    fs::remove_dir_all(dir).expect("the folder is removed");
     fleet.close();
 }
 
@@ -139,7 +144,7 @@
 }
 
 #[test]
-fn operators_see_and_steer_a_daemon() {
+fn operator_commands_show_and_drain_a_daemon() {
     let mut fleet = small_fleet();
     let (local, caller) = (fleet.daemons[0].local.to_string(), fleet.callers()[0]);
     let sample = repository_file("samples/prairie.toml");
@@ -150,43 +155,43 @@
     let checked = run(&["check", path(&sample)]);
     let diff = run(&["diff", path(&sample), "--json"]);
     let status = run(&["status", "--daemon", &local]);
-    let known = run(&["ticket", "--callers", &caller.to_string(), &used]);
+    let ticket_status = run(&["ticket", "--callers", &caller.to_string(), &used]);
     let no_daemon = run(&["apply", path(&sample), "--why", "x", "--wait"]);
     let drained = run(&["drain", "--daemon", &local]);
 
     assert!(checked.1.contains("3 classes, 3 services, 3 routes, 1 accounts"), "{}", checked.1);
     assert_eq!(diff.1.trim(), "[]");
     assert!(status.1.contains("phase: serving") && status.1.contains("state=serving"), "{}", status.1);
-    assert!(known.1.contains(r#""state":"done","status":200"#), "{}", known.1);
+    assert!(ticket_status.1.contains(r#""state":"done","status":200"#), "{}", ticket_status.1);
     assert_eq!(no_daemon.0, Some(1), "{}", no_daemon.1);
     assert_eq!(drained.0, Some(0));
-    wait_for_end(&mut fleet);
+    wait_for_exit(&mut fleet);
     fleet.close();
 }
 
-fn wait_for_end(fleet: &mut Fleet) {
+fn wait_for_exit(fleet: &mut Fleet) {
     for _ in 0..200 {
         if fleet.daemons[0].process.has_exited() {
             return;
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("a drained daemon ends");
+    panic!("the drained daemon is still running after 10 s");
 }
 
 #[rstest]
 #[case("/billing/charges", 1)]
 #[case("/portal", 4)]
-fn a_charge_is_written_once_and_a_lookup_a_few_times_however_they_end(#[case] path: &str, #[case] most: usize) {
+fn an_unanswered_charge_is_sent_once_and_a_lookup_at_most_four_times(#[case] path: &str, #[case] max_requests: usize) {
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = silent.local_addr().expect("an address");
-    let written = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&written);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let address = listener.local_addr().expect("an address");
+    let received = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&received);
     thread::spawn(move || {
-        for stream in silent.incoming() {
-            // It reads the request, or its cancellation, and closes the connection without an answer.
+        for stream in listener.incoming() {
+            // Reads the request, or its cancellation, and closes the connection without a response.
             let mut buf = [0; 4096];
             let read = stream.and_then(|mut it| it.read(&mut buf)).unwrap_or(0);
             count.fetch_add(usize::from(buf[..read].starts_with(b"POST")), Ordering::AcqRel);
@@ -195,9 +200,9 @@
     for service in ["billing", "portal"] {
         let body = format!(r#"{{"service":"{service}","address":"{address}","slots":2,"state":"serving"}}"#);
         let sent = ureq::post(format!("http://{}/announce", fleet.daemons[0].local)).send(&body);
-        sent.expect("the announcement is taken");
+        sent.expect("the announcement is accepted");
         fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
-        fleet.wait_for_endpoints(1).expect("the endpoint is seen");
+        fleet.wait_for_endpoints(1).expect("the endpoint is eligible");
         if path.contains(service) {
             break;
         }
@@ -207,13 +212,16 @@
     let charge = call(caller, path, Some(&ticket(caller)), TOKEN, "charge-1");
 
     assert_eq!(outcome(&charge), (504, "unknown"));
-    let requests = written.load(Ordering::Acquire);
-    assert!((1..=most).contains(&requests), "{requests} requests were written");
+    let requests = received.load(Ordering::Acquire);
+    assert!(
+        (1..=max_requests).contains(&requests),
+        "the endpoint received {requests} requests, expected 1 to {max_requests}"
+    );
     fleet.close();
 }
 
 #[test]
-fn a_stop_under_load_cuts_nothing() {
+fn a_graceful_stop_under_load_loses_no_outcome() {
     let mut fleet = prairie().start(3).expect("the deployment");
     let load = Load {
         mix: prairie().mix,
@@ -228,12 +236,12 @@
     let history = thread::scope(|scope| {
         let running = scope.spawn(|| load::run(&load, &callers));
         thread::sleep(Duration::from_secs(2));
-        assert!(fleet.daemons[1].process.stop(), "the daemon ends well");
+        assert!(fleet.daemons[1].process.stop(), "the daemon exits with success");
         running.join().expect("the load does not panic")
     });
 
-    let verdict = history::check(&load.mix, &history, &fleet.read_run_logs().expect("the run logs"));
-    assert!(verdict.passed(), "{verdict}");
-    assert_eq!(verdict.unknown_but_ran, 0, "{verdict}");
+    let report = history::check(&load.mix, &history, &fleet.read_run_logs().expect("the run logs"));
+    assert!(report.passed(), "{report}");
+    assert_eq!(report.unknown_but_ran, 0, "{report}");
     fleet.close();
 }
--- a/standins/tests/silent_connections.rs
+++ b/standins/tests/silent_connections.rs
@@ -1,4 +1,5 @@
-//! Open connections go silent for good while new ones work.
+//! Open connections to endpoints go silent without a reset while new connections work: requests must succeed over
+//! new ones.
 
 use std::{
     net::SocketAddr,
@@ -17,12 +18,12 @@
 
 const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 8, service_ms: 2, cold_start_ms: 0 };
 
-/// Announces an address for `service` until it is told to stop.
+/// Announces an address for `service` until `over` is set.
 fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, over: Arc<AtomicBool>) {
     thread::spawn(move || {
         while !over.load(Ordering::Acquire) {
             let body = format!(r#"{{"service":"{service}","address":"{address}","slots":8,"state":"serving"}}"#);
-            // A daemon that has ended with its test can't be told.
+            // An error is expected once the test has stopped its daemon.
             _ = ureq::post(format!("http://{local}/announce")).send(&body);
             thread::sleep(Duration::from_millis(500));
         }
@@ -58,21 +59,21 @@
 }
 
 #[test]
-fn work_goes_on_over_new_connections() {
+fn requests_succeed_over_new_connections() {
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
     let (local, caller) = (fleet.daemons[0].local, fleet.callers()[0]);
     let over = Arc::new(AtomicBool::new(false));
     let mut relays = Vec::new();
     for service in ["portal", "billing"] {
-        // The endpoint itself is announced under a service that no route leads to.
+        // The endpoint announces itself under a service without a route, so that requests pass through the relay.
         let at = fleet.add_endpoint("behind-a-relay", 0, ENDPOINT_PROFILE).expect("an endpoint");
         let relay = Relay::start(fleet.endpoints[at].address).expect("a relay");
         announce(local, service, relay.address, Arc::clone(&over));
         relays.push(relay);
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
-    fleet.wait_for_endpoints(4).expect("the endpoints are seen");
+    fleet.wait_for_endpoints(4).expect("the endpoints are eligible");
     let warm = thread::scope(|scope| {
         let running: Vec<_> = (0..6).map(|it| scope.spawn(move || lookup(caller, &format!("warm-{it}")).0)).collect();
         running.into_iter().map(|it| it.join().expect("a lookup")).collect::<Vec<_>>()
--- a/standins/tests/untrusted_input.rs
+++ b/standins/tests/untrusted_input.rs
@@ -1,5 +1,5 @@
-//! Bad input and strangers on all three listeners: a clear refusal, no crash, bounded memory, and
-//! other callers unharmed.
+//! Malformed requests and unauthenticated clients on all three listeners: they are refused with a clear status, and
+//! neither crash the daemon, exhaust its memory, nor disturb other callers.
 
 use std::{
     io::{Read as _, Write as _},
@@ -19,15 +19,15 @@
 };
 
 const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 4, service_ms: 2, cold_start_ms: 0 };
-/// What a daemon's memory may grow by under bad input, in bytes.
-const GROWTH_LIMIT: u64 = 64 << 20;
+/// Limit for the growth of a daemon's memory under malformed input.
+const MAX_GROWTH_BYTES: u64 = 64 << 20;
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
     fleet.add_endpoint("portal", 0, ENDPOINT_PROFILE).expect("an endpoint");
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
-    fleet.wait_for_endpoints(1).expect("the endpoint is seen");
+    fleet.wait_for_endpoints(1).expect("the endpoint is eligible");
     fleet
 }
 
@@ -37,10 +37,10 @@
     stream
 }
 
-/// Sends bytes, closes one direction, and returns what comes back, if anything.
+/// Sends bytes, closes the sending direction, and returns the response, which may be empty.
 fn send(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(address);
-    // The other side may hang up in the middle.
+    // The daemon may close the connection before it has read everything.
     _ = stream.write_all(bytes);
     _ = stream.shutdown(Shutdown::Write);
     let mut buf = Vec::new();
@@ -54,9 +54,9 @@
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-fn lookup_works(fleet: &Fleet) -> bool {
-    let answer = ureq::get(format!("http://{}/portal", fleet.callers()[0])).call();
-    answer.is_ok_and(|it| it.status() == 200)
+fn lookup_succeeds(fleet: &Fleet) -> bool {
+    let resp = ureq::get(format!("http://{}/portal", fleet.callers()[0])).call();
+    resp.is_ok_and(|it| it.status() == 200)
 }
 
 fn request() -> impl Strategy<Value = Vec<u8>> {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn malformed_requests_end_nothing_and_take_no_memory() {
+fn malformed_requests_neither_crash_a_daemon_nor_exhaust_its_memory() {
     let mut fleet = fleet();
     let daemon = &fleet.daemons[0];
     let listeners = [daemon.callers, daemon.peers, daemon.local];
@@ -97,19 +97,19 @@
 
     let result = runner.run(&(0..3_usize, request()), |(listener, bytes)| {
         send(listeners[listener], &bytes);
-        prop_assert!(lookup_works(&fleet));
+        prop_assert!(lookup_succeeds(&fleet));
         Ok(())
     });
 
-    result.expect("other callers are unharmed");
+    result.expect("lookups of other callers succeed");
     let after = usage(fleet.daemons[0].process.id()).expect("usage").resident;
-    assert!(after < before + GROWTH_LIMIT, "{before} to {after} bytes");
+    assert!(after < before + MAX_GROWTH_BYTES, "{before} to {after} bytes");
     assert!(!fleet.daemons[0].process.has_exited());
     fleet.close();
 }
 
 #[test]
-fn slow_and_silent_callers_do_not_keep_others_out() {
+fn slow_and_silent_callers_do_not_block_others() {
     let fleet = fleet();
     let caller = fleet.callers()[0];
 
@@ -122,10 +122,10 @@
         })
         .collect();
 
-    assert!((0..20).all(|_| lookup_works(&fleet)));
+    assert!((0..20).all(|_| lookup_succeeds(&fleet)));
     thread::sleep(Duration::from_secs(12));
-    let dropped = silent.iter().chain(&stuck).filter(|it| is_closed(it)).count();
-    assert_eq!(dropped, 400, "silent callers are dropped in time");
+    let closed = silent.iter().chain(&stuck).filter(|it| is_closed(it)).count();
+    assert_eq!(closed, 400, "silent connections are closed in time");
     fleet.close();
 }
 
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn each_refusal_is_clear() {
+fn invalid_requests_get_the_matching_status() {
     let fleet = fleet();
     let daemon = &fleet.daemons[0];
     let large = format!("GET /portal HTTP/1.1\r\nX-Large: {}\r\n\r\n", "x".repeat(40_000));
