--- a/standins/src/endpoint.rs
+++ b/standins/src/endpoint.rs
@@ -1,5 +1,5 @@
 //! Stand-in for an endpoint: announces itself and has slots, a cold start and faults. It writes each executed
-//! operation to a run log, against which the history check compares what callers were told.
+//! operation to a run log, against which the history check compares the outcomes that callers received.
 
 use std::{
     collections::HashMap,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -81,7 +81,7 @@
     pub peers: SocketAddr,
     /// Address for endpoints and operators on the VM.
     pub local: SocketAddr,
-    /// The process.
+    /// Handle of the process.
     pub process: Process,
     settings: PathBuf,
 }
@@ -94,7 +94,7 @@
     pub address: SocketAddr,
     /// File with one executed operation a line.
     pub log: PathBuf,
-    /// The process.
+    /// Handle of the process.
     pub process: Process,
     args: Vec<String>,
 }
@@ -115,11 +115,11 @@
     dir: PathBuf,
     /// The store's address.
     pub store: SocketAddr,
-    /// The store's process.
+    /// Handle of the store's process.
     pub store_process: Process,
-    /// The daemons.
+    /// Daemons, in the order in which they were added.
     pub daemons: Vec<DaemonProcess>,
-    /// The endpoints.
+    /// Endpoints, in the order in which they were added.
     pub endpoints: Vec<EndpointProcess>,
 }
 
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -34,7 +34,7 @@
 
 /// Direction of traffic, relative to the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Direction {
+enum Flow {
     To,
     From,
 }
@@ -67,12 +67,12 @@
             listener.serve(|client| {
                 // If the target refuses the connection, the client's is closed at once.
                 let Ok(server) = TcpStream::connect(target) else { return };
-                for (from, to, direction) in [
-                    (client.try_clone(), server.try_clone(), Direction::To),
-                    (server.try_clone(), client.try_clone(), Direction::From),
+                for (from, to, flow) in [
+                    (client.try_clone(), server.try_clone(), Flow::To),
+                    (server.try_clone(), client.try_clone(), Flow::From),
                 ] {
                     let (Ok(from), Ok(to)) = (from, to) else { continue };
-                    let forwarder = Forwarder::new(from, to, direction, &shared);
+                    let forwarder = Forwarder::new(from, to, flow, &shared);
                     thread::spawn(move || forwarder.run());
                 }
             });
@@ -100,7 +100,7 @@
 struct Forwarder {
     from: TcpStream,
     to: TcpStream,
-    direction: Direction,
+    flow: Flow,
     shared: Arc<Shared>,
     /// Value of `Shared::silence_epoch` when the connection was opened.
     silence_epoch: u64,
@@ -109,10 +109,10 @@
 }
 
 impl Forwarder {
-    fn new(from: TcpStream, to: TcpStream, direction: Direction, shared: &Arc<Shared>) -> Self {
+    fn new(from: TcpStream, to: TcpStream, flow: Flow, shared: &Arc<Shared>) -> Self {
         let (silence_epoch, resets) =
             (shared.silence_epoch.load(Ordering::Acquire), shared.resets.load(Ordering::Acquire));
-        Self { from, to, direction, shared: Arc::clone(shared), silence_epoch, resets }
+        Self { from, to, flow, shared: Arc::clone(shared), silence_epoch, resets }
     }
 
     fn run(mut self) {
@@ -153,17 +153,13 @@
     fn apply_impairment(&self) {
         loop {
             let impairment = *self.shared.impairment.lock().unwrap_or_else(PoisonError::into_inner);
-            match (impairment, self.direction) {
+            match (impairment, self.flow) {
                 (Impairment::Delayed(it), _) => {
                     thread::sleep(it);
                     return;
                 }
-                (Impairment::CutTo, Direction::To) | (Impairment::CutFrom, Direction::From) => {
-                    thread::sleep(POLL_INTERVAL)
-                }
-                (Impairment::None, _) | (Impairment::CutTo, Direction::From) | (Impairment::CutFrom, Direction::To) => {
-                    return;
-                }
+                (Impairment::CutTo, Flow::To) | (Impairment::CutFrom, Flow::From) => thread::sleep(POLL_INTERVAL),
+                (Impairment::None, _) | (Impairment::CutTo, Flow::From) | (Impairment::CutFrom, Flow::To) => return,
             }
             if self.is_reset() || self.is_silenced() {
                 return;
