--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -44,12 +44,12 @@
     for at in 0..options.daemons {
         fleet.add_daemon(&format!("dc-{}", at % 6 + 1))?;
     }
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     let locals: Vec<_> = fleet.daemons.iter().map(|it| it.local).collect();
     thread::scope(|scope| {
-        let announcer = scope.spawn(|| announce(&locals, options.endpoints, &over));
+        let announcer = scope.spawn(|| announce(&locals, options.endpoints, &finished));
         let measured = measure(&mut fleet, options);
-        over.store(true, Ordering::Release);
+        finished.store(true, Ordering::Release);
         announcer.join().expect("the announcer does not panic");
         measured
     })?;
@@ -168,10 +168,10 @@
     (first, last)
 }
 
-/// Announces endpoints to each daemon once a second until `over` is set; nothing listens at their addresses.
-fn announce(locals: &[SocketAddr], endpoints: u16, over: &AtomicBool) {
+/// Announces endpoints to each daemon once a second until `finished` is set; nothing listens at their addresses.
+fn announce(locals: &[SocketAddr], endpoints: u16, finished: &AtomicBool) {
     let agent = ureq::Agent::new_with_defaults();
-    while !over.load(Ordering::Acquire) {
+    while !finished.load(Ordering::Acquire) {
         let started = Instant::now();
         for (number, local) in locals.iter().enumerate() {
             for at in 0..endpoints {
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -141,14 +141,14 @@
     };
     let callers = fleet.callers();
     let locals: Vec<_> = fleet.daemons.iter().map(|it| it.local).collect();
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     let mut soak = Soak::new(options, &deployment, &mut fleet);
     let (history, reverts, injected) = thread::scope(|scope| {
         let running = scope.spawn(|| load::run(&load, &callers));
-        let watching = scope.spawn(|| watch_versions(&locals, &over));
+        let watching = scope.spawn(|| watch_versions(&locals, &finished));
         let injected = soak.inject_faults();
         let history = running.join().expect("the load does not panic");
-        over.store(true, Ordering::Release);
+        finished.store(true, Ordering::Release);
         (history, watching.join().expect("the watch does not panic"), injected)
     });
     injected?;
@@ -190,11 +190,11 @@
                 println!("{:6.1} s  {:?}", start.elapsed().as_secs_f64(), faults);
             }
             for (fault, at) in &faults {
-                self.begin(*fault, *at)?;
+                self.begin_fault(*fault, *at)?;
             }
             thread::sleep(Duration::from_millis(self.rng.random_range(500..6000)));
             for (fault, at) in &faults {
-                self.end(*fault, *at)?;
+                self.end_fault(*fault, *at)?;
             }
         }
         Ok(())
@@ -205,7 +205,7 @@
         (fault, self.rng.random_range(0..1000))
     }
 
-    fn begin(&mut self, fault: Fault, at: usize) -> io::Result<()> {
+    fn begin_fault(&mut self, fault: Fault, at: usize) -> io::Result<()> {
         let (daemon, endpoint) = (at % self.fleet.daemons.len(), at % self.fleet.endpoints.len());
         let none = EndpointFault::default();
         match fault {
@@ -216,18 +216,18 @@
             Fault::FreezeDaemon => self.fleet.daemons[daemon].process.signal(Signal::STOP),
             Fault::KillEndpoint => self.fleet.endpoints[endpoint].process.kill(),
             Fault::FreezeEndpoint => self.fleet.endpoints[endpoint].process.signal(Signal::STOP),
-            Fault::Errors => self.endpoint_fault(endpoint, &EndpointFault { errors: 1.0, ..none }),
-            Fault::Flaps => self.endpoint_fault(endpoint, &EndpointFault { errors: 1.0, flap_ms: 500, ..none }),
-            Fault::Hangs => self.endpoint_fault(endpoint, &EndpointFault { hangs: 0.5, ..none }),
-            Fault::Truncates => self.endpoint_fault(endpoint, &EndpointFault { truncates: true, ..none }),
+            Fault::Errors => self.set_endpoint_fault(endpoint, &EndpointFault { errors: 1.0, ..none }),
+            Fault::Flaps => self.set_endpoint_fault(endpoint, &EndpointFault { errors: 1.0, flap_ms: 500, ..none }),
+            Fault::Hangs => self.set_endpoint_fault(endpoint, &EndpointFault { hangs: 0.5, ..none }),
+            Fault::Truncates => self.set_endpoint_fault(endpoint, &EndpointFault { truncates: true, ..none }),
             Fault::SlowAndLying => {
-                self.endpoint_fault(endpoint, &EndpointFault { slow_ms: 1500, reported_load: Some(0), ..none });
+                self.set_endpoint_fault(endpoint, &EndpointFault { slow_ms: 1500, reported_load: Some(0), ..none });
             }
-            Fault::StoreAway => self.store_fault(&StoreFault { unavailable: true, ..StoreFault::default() })?,
-            Fault::StoreSlow => self.store_fault(&StoreFault { slow_ms: 800, ..StoreFault::default() })?,
+            Fault::StoreAway => self.set_store_fault(&StoreFault { unavailable: true, ..StoreFault::default() })?,
+            Fault::StoreSlow => self.set_store_fault(&StoreFault { slow_ms: 800, ..StoreFault::default() })?,
             Fault::LoseAnswers => {
                 let lose_answers = self.rng.random_range(1..5);
-                self.store_fault(&StoreFault { lose_answers, ..StoreFault::default() })?;
+                self.set_store_fault(&StoreFault { lose_answers, ..StoreFault::default() })?;
                 self.apply_changes(1)?;
             }
             Fault::Race => self.apply_changes(2)?,
@@ -235,7 +235,7 @@
         Ok(())
     }
 
-    fn end(&mut self, fault: Fault, at: usize) -> io::Result<()> {
+    fn end_fault(&mut self, fault: Fault, at: usize) -> io::Result<()> {
         let (daemon, endpoint) = (at % self.fleet.daemons.len(), at % self.fleet.endpoints.len());
         match fault {
             Fault::KillDaemon | Fault::StopDaemon => self.fleet.restart_daemon(daemon)?,
@@ -249,20 +249,20 @@
             Fault::KillEndpoint => self.fleet.restart_endpoint(endpoint)?,
             Fault::FreezeEndpoint => self.fleet.endpoints[endpoint].process.signal(Signal::CONT),
             Fault::Errors | Fault::Flaps | Fault::Hangs | Fault::Truncates | Fault::SlowAndLying => {
-                self.endpoint_fault(endpoint, &EndpointFault::default());
+                self.set_endpoint_fault(endpoint, &EndpointFault::default());
             }
-            Fault::StoreAway | Fault::StoreSlow | Fault::LoseAnswers => self.store_fault(&StoreFault::default())?,
+            Fault::StoreAway | Fault::StoreSlow | Fault::LoseAnswers => self.set_store_fault(&StoreFault::default())?,
             Fault::Race => (),
         }
         Ok(())
     }
 
-    fn endpoint_fault(&self, at: usize, fault: &EndpointFault) {
+    fn set_endpoint_fault(&self, at: usize, fault: &EndpointFault) {
         // An error is expected if the other fault has killed or paused the endpoint.
         _ = self.fleet.set_fault(self.fleet.endpoints[at].address, fault);
     }
 
-    fn store_fault(&self, fault: &StoreFault) -> io::Result<()> {
+    fn set_store_fault(&self, fault: &StoreFault) -> io::Result<()> {
         self.fleet.set_fault(self.fleet.store, fault)
     }
 
@@ -290,11 +290,11 @@
     }
 }
 
-/// Polls the daemons' versions until `over` is set; counts how often one went back within an incarnation.
-fn watch_versions(locals: &[SocketAddr], over: &AtomicBool) -> usize {
+/// Polls the daemons' versions until `finished` is set; counts how often one went back within an incarnation.
+fn watch_versions(locals: &[SocketAddr], finished: &AtomicBool) -> usize {
     let mut seen = vec![(0, 0); locals.len()];
     let mut reverts = 0;
-    while !over.load(Ordering::Acquire) {
+    while !finished.load(Ordering::Acquire) {
         for (local, seen) in locals.iter().zip(&mut seen) {
             let Ok(status) = fetch_status(*local) else { continue };
             let now = (status["incarnation"].as_u64().unwrap_or(0), status["config_version"].as_u64().unwrap_or(0));
--- a/standins/tests/silent_connections.rs
+++ b/standins/tests/silent_connections.rs
@@ -18,10 +18,10 @@
 
 const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 8, service_ms: 2, cold_start_ms: 0 };
 
-/// Announces an address for `service` until `over` is set.
-fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, over: Arc<AtomicBool>) {
+/// Announces an address for `service` until `finished` is set.
+fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, finished: Arc<AtomicBool>) {
     thread::spawn(move || {
-        while !over.load(Ordering::Acquire) {
+        while !finished.load(Ordering::Acquire) {
             let body = format!(r#"{{"service":"{service}","address":"{address}","slots":8,"state":"serving"}}"#);
             // An error is expected once the test has stopped its daemon.
             _ = ureq::post(format!("http://{local}/announce")).send(&body);
@@ -63,13 +63,13 @@
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
     let (local, caller) = (fleet.daemons[0].local, fleet.callers()[0]);
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let mut relays = Vec::new();
     for service in ["portal", "billing"] {
         // The endpoint announces itself under a service without a route, so that requests pass through the relay.
         let at = fleet.add_endpoint("behind-a-relay", 0, ENDPOINT_PROFILE).expect("an endpoint");
         let relay = Relay::start(fleet.endpoints[at].address).expect("a relay");
-        announce(local, service, relay.address, Arc::clone(&over));
+        announce(local, service, relay.address, Arc::clone(&finished));
         relays.push(relay);
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
@@ -88,6 +88,6 @@
     assert!(looked_up.iter().all(|it| it.0 == 200 && it.1 < Duration::from_secs(1)), "{looked_up:?}");
     let runs = fleet.read_run_logs().expect("the run logs");
     assert_eq!(runs.iter().filter(|it| ***it == *"charge-1").count(), 1);
-    over.store(true, Ordering::Release);
+    finished.store(true, Ordering::Release);
     fleet.close();
 }
