--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -137,7 +137,7 @@
     let applied =
         apply(&store, targets, None, "stand-in", "idle", Duration::from_secs(30)).map_err(io::Error::other)?;
     let jayreach::store::Applied::Accepted { version, .. } = applied else {
-        return Err(io::Error::other("the targets are already active"));
+        return Err(io::Error::other("the change changed nothing"));
     };
     let wait = |local: SocketAddr| {
         while fetch_status(local).ok().and_then(|it| it["config_version"].as_u64()).unwrap_or(0) < version {
