--- a/standins/tests/silence.rs
+++ b/standins/tests/silent_connections.rs
@@ -1,4 +1,5 @@
-//! Open connections go silent for good while new ones work.
+//! Open connections to endpoints go silent without a reset while new connections work: requests must succeed over
+//! new ones.
 
 use std::{
     net::SocketAddr,
@@ -11,18 +12,18 @@
 use standins::{
     deployment::repository_file,
     endpoint::OPERATION_HEADER,
-    fleet::{EndpointShape, Fleet, TOKEN},
+    fleet::{EndpointProfile, Fleet, TOKEN},
     relay::Relay,
 };
 
-const SHAPE: EndpointShape = EndpointShape { slots: 8, service_ms: 2, cold_start_ms: 0 };
+const ENDPOINT_PROFILE: EndpointProfile = EndpointProfile { slots: 8, service_ms: 2, cold_start_ms: 0 };
 
-/// Announces an address for `service` until it is told to stop.
-fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, over: Arc<AtomicBool>) {
+/// Announces an address for `service` until `finished` is set.
+fn announce(local: SocketAddr, service: &'static str, address: SocketAddr, finished: Arc<AtomicBool>) {
     thread::spawn(move || {
-        while !over.load(Ordering::Acquire) {
+        while !finished.load(Ordering::Acquire) {
             let body = format!(r#"{{"service":"{service}","address":"{address}","slots":8,"state":"serving"}}"#);
-            // A daemon that has ended with its test can't be told.
+            // An error is expected once the test has stopped its daemon.
             _ = ureq::post(format!("http://{local}/announce")).send(&body);
             thread::sleep(Duration::from_millis(500));
         }
@@ -58,35 +59,35 @@
 }
 
 #[test]
-fn work_goes_on_over_new_connections() {
+fn requests_succeed_over_new_connections() {
     let mut fleet = Fleet::start().expect("a store");
     fleet.add_daemon("dc-1").expect("a daemon");
     let (local, caller) = (fleet.daemons[0].local, fleet.callers()[0]);
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let mut relays = Vec::new();
     for service in ["portal", "billing"] {
-        // The endpoint itself is announced under a service that no route leads to.
-        let at = fleet.add_endpoint("behind-a-relay", 0, SHAPE).expect("an endpoint");
+        // The endpoint announces itself under a service without a route, so that requests pass through the relay.
+        let at = fleet.add_endpoint("behind-a-relay", 0, ENDPOINT_PROFILE).expect("an endpoint");
         let relay = Relay::start(fleet.endpoints[at].address).expect("a relay");
-        announce(local, service, relay.address, Arc::clone(&over));
+        announce(local, service, relay.address, Arc::clone(&finished));
         relays.push(relay);
     }
     fleet.apply(&repository_file("samples/prairie.toml")).expect("the sample is accepted");
-    fleet.wait_for_endpoints(4).expect("the endpoints are seen");
+    fleet.wait_for_endpoints(4).expect("the endpoints are eligible");
     let warm = thread::scope(|scope| {
         let running: Vec<_> = (0..6).map(|it| scope.spawn(move || lookup(caller, &format!("warm-{it}")).0)).collect();
         running.into_iter().map(|it| it.join().expect("a lookup")).collect::<Vec<_>>()
     });
     assert!(warm.iter().all(|it| *it == 200), "{warm:?}");
 
-    relays.iter().for_each(Relay::forget_open);
+    relays.iter().for_each(Relay::silence_open_connections);
     let charged = charge(caller, "charge-1");
     let looked_up: Vec<_> = (0..4).map(|it| lookup(caller, &format!("after-{it}"))).collect();
 
     assert_eq!(charged.0, 200, "{charged:?}");
     assert!(looked_up.iter().all(|it| it.0 == 200 && it.1 < Duration::from_secs(1)), "{looked_up:?}");
-    let runs = fleet.runs().expect("the run logs");
+    let runs = fleet.read_run_logs().expect("the run logs");
     assert_eq!(runs.iter().filter(|it| ***it == *"charge-1").count(), 1);
-    over.store(true, Ordering::Release);
+    finished.store(true, Ordering::Release);
     fleet.close();
 }
