--- a/src/daemon/active_config.rs
+++ b/src/daemon/active_config.rs
@@ -28,13 +28,13 @@
 
 /// The configuration in force; its version only goes up.
 #[derive(Default)]
-pub(crate) struct ConfigCell {
+pub(crate) struct ActiveConfig {
     current: RwLock<Option<Arc<Config>>>,
     /// Held while a newer one is fetched, so that one fetch at a time runs.
     fetching: Mutex<()>,
 }
 
-impl ConfigCell {
+impl ActiveConfig {
     /// The configuration in force.
     pub(crate) fn get(&self) -> Option<Arc<Config>> {
         self.current.read().unwrap_or_else(PoisonError::into_inner).clone()
--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -13,7 +13,7 @@
         Daemon,
         active_config::Config,
         http_server::{BodyError, Request, path, query, respond, respond_json},
-        ingress::Order,
+        ingress::RequestContext,
     },
     targets::{Class, Found},
     wire::{Answer, Doubt, Header, Outcome, Refusal, Ticket, TicketStatus, Work},
@@ -180,7 +180,7 @@
     let found = config.directory.route(&path).expect("the path was routed by this configuration");
     let started = Instant::now();
     let Found { service, class, .. } = found;
-    let order = Order { service: &service.name, class: &class.name, importance: class.importance, deadline };
+    let order = RequestContext { service: &service.name, class: &class.name, importance: class.importance, deadline };
     let outcome = match ticket {
         Some(ticket) => daemon.run_ticketed(order, &ticket, work),
         None => daemon.run_idempotent(order, &work),
--- a/src/daemon/config_watch.rs
+++ b/src/daemon/config_watch.rs
@@ -17,7 +17,7 @@
     daemon::{
         Daemon,
         http_client::Connection,
-        peers::{CONTROL_TIMEOUT, GotParts, PeerCall, WantParts},
+        peers::{CONTROL_TIMEOUT, PartsReply, PartsRequest, PeerCall},
         phase::PhaseEvent,
     },
     store::{Expect, ObjectVersion, ROOT_KEY, part_key, presence_key},
@@ -134,10 +134,10 @@
         }
         let cx = Arc::clone(self);
         let job = Box::new(move || {
-            let send = |call, body| cx.peers.send(address, call, body, 0, Connection::Kept, CONTROL_TIMEOUT);
+            let send = |call, body| cx.peers.send(address, call, body, 0, Connection::Pooled, CONTROL_TIMEOUT);
             let fetch = |parts: &[PartRef]| {
-                let want = encode(&WantParts { parts: parts.to_vec() });
-                let got: GotParts = decode(&send(PeerCall::Parts, want).ok()?).ok()?;
+                let want = encode(&PartsRequest { parts: parts.to_vec() });
+                let got: PartsReply = decode(&send(PeerCall::Parts, want).ok()?).ok()?;
                 Some(got.parts.into_iter().map(ByteBuf::into_vec).collect())
             };
             if let Ok(root) = send(PeerCall::Root, Vec::new()) {
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -5,7 +5,7 @@
 use ureq::http::Request;
 
 use crate::{
-    daemon::http_client::{Client, Connection, Reply},
+    daemon::http_client::{Client, ClientResponse, Connection},
     decide::Sample,
     ticket::Silence,
     wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
@@ -22,7 +22,7 @@
 }
 
 enum Called {
-    Answered(Reply),
+    Answered(ClientResponse),
     Silent(Silence),
     NotSent(Refusal),
 }
@@ -31,7 +31,7 @@
     let Some(req) = request(dispatch, left) else {
         return Called::NotSent(Refusal::BadRequest);
     };
-    let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::Fresh } else { Connection::Kept };
+    let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::New } else { Connection::Pooled };
     match client.call(req, connection, left) {
         Ok(reply) => Called::Answered(reply),
         Err(silence) => Called::Silent(silence),
@@ -57,7 +57,7 @@
         Called::Answered(reply) if shed(&reply) => (Outcome::NotRun(Refusal::EndpointShed), None),
         Called::Answered(reply) => {
             let sample = if reply.status >= 500 { Sample::Bad } else { Sample::Good };
-            let Reply { status, headers, body } = reply;
+            let ClientResponse { status, headers, body } = reply;
             (Outcome::Done(Answer { status, headers, body }), Some(sample))
         }
         Called::Silent(Silence::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
@@ -66,7 +66,7 @@
     }
 }
 
-fn shed(reply: &Reply) -> bool {
+fn shed(reply: &ClientResponse) -> bool {
     let says = |it: &Header| it.name.eq_ignore_ascii_case(OUTCOME_HEADER) && &*it.value == "not-run";
     reply.status == 503 && reply.headers.iter().any(says)
 }
@@ -75,7 +75,7 @@
 pub(crate) fn cancel(client: &Client, dispatch: &Dispatch) {
     let uri = format!("http://{}/.jayreach/requests/{}", dispatch.endpoint, dispatch.request_id);
     let Ok(req) = Request::builder().method("DELETE").uri(uri).body(Vec::new()) else { return };
-    if client.call(req, Connection::Fresh, CANCEL_TIMEOUT).is_err() {
+    if client.call(req, Connection::New, CANCEL_TIMEOUT).is_err() {
         metrics::counter!("jayreach_cancellations_lost_total").increment(1);
     }
 }
--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -122,7 +122,7 @@
 }
 
 /// All services' endpoints.
-pub(crate) struct View {
+pub(crate) struct EndpointView {
     data_centre: Box<str>,
     inner: RwLock<Inner>,
 }
@@ -150,7 +150,7 @@
     eligible: usize,
 }
 
-impl View {
+impl EndpointView {
     /// An empty view from `data_centre`.
     pub(crate) fn new(data_centre: Box<str>) -> Self {
         Self { data_centre, inner: RwLock::default() }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -70,7 +70,7 @@
         let cx = Arc::clone(daemon);
         let bytes = Arc::clone(&bytes);
         let job = Box::new(move || {
-            let sent = cx.peers.send(address, PeerCall::Push, bytes.to_vec(), 0, Connection::Fresh, CONTROL_TIMEOUT);
+            let sent = cx.peers.send(address, PeerCall::Push, bytes.to_vec(), 0, Connection::New, CONTROL_TIMEOUT);
             let name = if sent.is_ok() { "jayreach_pushes_total" } else { "jayreach_pushes_lost_total" };
             metrics::counter!(name).increment(1);
         });
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -62,15 +62,15 @@
 
 /// What a service weighs and how its other endpoints fare.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Measure {
+pub(crate) struct EjectionContext {
     pub(crate) baseline: f64,
     pub(crate) weighs: Weighs,
 }
 
 /// What a guard asks of its daemon while it runs a dispatch.
-pub(crate) struct Hooks<'a> {
+pub(crate) struct ExecutionHooks<'a> {
     /// What an endpoint's service weighs, and how its others fare.
-    pub(crate) measure: &'a dyn Fn(&str) -> Measure,
+    pub(crate) measure: &'a dyn Fn(&str) -> EjectionContext,
     /// The endpoint's row has to be told anew.
     pub(crate) changed: &'a dyn Fn(),
 }
@@ -93,7 +93,7 @@
 }
 
 /// The guard's state.
-pub(crate) struct GuardDesk {
+pub(crate) struct LocalGuard {
     incarnation: Incarnation,
     inner: Mutex<Inner>,
     /// Told whenever a line of the ledger ends.
@@ -103,12 +103,12 @@
 
 /// What the ledger and gates hold, for operators.
 #[derive(Debug, Serialize)]
-pub(crate) struct GuardCount {
+pub(crate) struct LedgerCounts {
     ledger: usize,
     running: usize,
 }
 
-impl GuardDesk {
+impl LocalGuard {
     pub(crate) fn new(incarnation: Incarnation) -> Self {
         Self { incarnation, inner: Mutex::default(), ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
     }
@@ -167,13 +167,13 @@
     }
 
     /// Counts for operators.
-    pub(crate) fn count(&self) -> GuardCount {
+    pub(crate) fn count(&self) -> LedgerCounts {
         let inner = lock(&self.inner);
-        GuardCount { ledger: inner.ledger.len(), running: inner.ledger.running() }
+        LedgerCounts { ledger: inner.ledger.len(), running: inner.ledger.running() }
     }
 
     /// Runs a dispatch.
-    pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> DispatchReply {
+    pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> DispatchReply {
         let outcome = self.run(client, dispatch, hooks);
         let inner = lock(&self.inner);
         let gate = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].gate);
@@ -181,7 +181,7 @@
         DispatchReply { outcome, load, admits }
     }
 
-    fn run(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> Outcome {
+    fn run(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
         }
@@ -201,7 +201,7 @@
     }
 
     /// Admits the work, passes it to the endpoint and takes the evidence.
-    fn run_once(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> Outcome {
+    fn run_once(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         let started = Instant::now();
         let deadline = started + Duration::from_millis(dispatch.budget_ms);
         if let Err(refusal) = self.admit(dispatch, deadline) {
@@ -272,7 +272,14 @@
     }
 
     /// Frees the slot and takes the evidence; returns whether the row changed.
-    fn leave(&self, endpoint: &str, took: Duration, sample: Option<Sample>, measure: Measure, now: Instant) -> bool {
+    fn leave(
+        &self,
+        endpoint: &str,
+        took: Duration,
+        sample: Option<Sample>,
+        measure: EjectionContext,
+        now: Instant,
+    ) -> bool {
         let mut inner = lock(&self.inner);
         let at = inner.find(endpoint).expect("an endpoint stays while work is running there");
         let endpoint = &mut inner.endpoints[at];
--- a/src/daemon/http_client.rs
+++ b/src/daemon/http_client.rs
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Connection {
     /// It may.
-    Kept,
+    Pooled,
     /// It opens its own.
-    Fresh,
+    New,
 }
 
 /// A whole answer.
-pub(crate) struct Reply {
+pub(crate) struct ClientResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Vec<u8>,
@@ -54,10 +54,10 @@
         req: Request<Vec<u8>>,
         connection: Connection,
         timeout: Duration,
-    ) -> Result<Reply, Silence> {
+    ) -> Result<ClientResponse, Silence> {
         let agent = match connection {
-            Connection::Kept => &self.kept,
-            Connection::Fresh => &self.fresh,
+            Connection::Pooled => &self.kept,
+            Connection::New => &self.fresh,
         };
         let req = agent.configure_request(req).timeout_global(Some(timeout)).build();
         // The answer to HEAD states the length of a body that it does not have.
@@ -84,7 +84,7 @@
     Agent::new_with_config(config)
 }
 
-fn whole(mut resp: Response<Body>, has_body: bool) -> Result<Reply, ureq::Error> {
+fn whole(mut resp: Response<Body>, has_body: bool) -> Result<ClientResponse, ureq::Error> {
     let stated = resp.headers().get("content-length").and_then(|it| it.to_str().ok()?.parse().ok());
     let headers = resp.headers().iter();
     let headers = headers
@@ -94,7 +94,7 @@
     if has_body && stated.is_some_and(|it: usize| it != body.len()) {
         return Err(ureq::Error::Io(io::ErrorKind::UnexpectedEof.into()));
     }
-    Ok(Reply { status: resp.status().as_u16(), headers, body })
+    Ok(ClientResponse { status: resp.status().as_u16(), headers, body })
 }
 
 /// Only what fails while connecting proves that nothing was sent.
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -50,14 +50,14 @@
 
 /// What a request asks for, beside its bytes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Order<'a> {
+pub(crate) struct RequestContext<'a> {
     pub(crate) service: &'a str,
     pub(crate) class: &'a str,
     pub(crate) importance: Importance,
     pub(crate) deadline: Instant,
 }
 
-impl Order<'_> {
+impl RequestContext<'_> {
     fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -65,7 +65,7 @@
 
 /// One attempt at a request.
 struct Attempt<'a> {
-    order: Order<'a>,
+    order: RequestContext<'a>,
     work: &'a Work,
     /// Present exactly if the class is not idempotent.
     leg: Option<TicketLeg>,
@@ -76,7 +76,7 @@
 
 impl Daemon {
     /// Runs idempotent work.
-    pub(crate) fn run_idempotent(&self, order: Order<'_>, work: &Work) -> Outcome {
+    pub(crate) fn run_idempotent(&self, order: RequestContext<'_>, work: &Work) -> Outcome {
         self.budgets.earn(order.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
@@ -91,7 +91,7 @@
                 Err(_) => break,
             };
             let (connection, share) =
-                if tried.is_empty() { (Connection::Kept, FIRST_SHARE) } else { (Connection::Fresh, 1.0) };
+                if tried.is_empty() { (Connection::Pooled, FIRST_SHARE) } else { (Connection::New, 1.0) };
             let attempt = Attempt { order, work, leg: None, connection, budget: order.left().mul_f64(share) };
             last = self.try_once(&target, &attempt);
             if answered_well(&last) {
@@ -121,7 +121,7 @@
             endpoint: target.row.id.clone(),
             importance: attempt.order.importance,
             budget_ms: attempt.budget.as_millis() as u64,
-            retry: attempt.connection == Connection::Fresh,
+            retry: attempt.connection == Connection::New,
             leg: attempt.leg.clone(),
             work: attempt.work.clone(),
         };
@@ -148,7 +148,7 @@
     }
 
     /// Runs work under a ticket: here if this is its home, else there.
-    pub(crate) fn run_ticketed(&self, order: Order<'_>, ticket: &Ticket, work: Work) -> Outcome {
+    pub(crate) fn run_ticketed(&self, order: RequestContext<'_>, ticket: &Ticket, work: Work) -> Outcome {
         let forward = Forward {
             ticket: ticket.clone(),
             budget_ms: order.left().as_millis() as u64,
@@ -174,7 +174,7 @@
     pub(crate) fn run_at_home(&self, forward: &Forward) -> Outcome {
         let deadline = Instant::now() + Duration::from_millis(forward.budget_ms);
         let Forward { service, class, importance, .. } = forward;
-        let order = Order { service, class, importance: *importance, deadline };
+        let order = RequestContext { service, class, importance: *importance, deadline };
         if self.leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
@@ -193,7 +193,7 @@
     }
 
     /// Sends work under a running ticket, to another guard only when the last attempt can't run.
-    fn run_attempts(&self, order: Order<'_>, ticket: &Ticket, work: &Work) -> Outcome {
+    fn run_attempts(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
         self.budgets.earn(order.class);
@@ -217,14 +217,14 @@
     }
 
     /// One attempt, and asking about it until it is decided or the time is up.
-    fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
+    fn run_attempt(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
         let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
         let Some(leg) = self.home.dispatch(ticket, guard) else {
             return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = order.left();
         let timeout = FIRST_WAIT.min(budget + GRACE);
-        let attempt = Attempt { order, work, leg: Some(leg.clone()), connection: Connection::Kept, budget };
+        let attempt = Attempt { order, work, leg: Some(leg.clone()), connection: Connection::Pooled, budget };
         let sent = self.send(target, &attempt, timeout);
         let mut verdict = match sent {
             Ok(reply) => judge_reply(reply.outcome),
@@ -252,7 +252,7 @@
         if self.is_self(guard) {
             return Ok(self.guard.revoke(&revoke));
         }
-        self.peers.call(guard.peers, PeerCall::Revoke, &revoke, Connection::Fresh, wait + GRACE)
+        self.peers.call(guard.peers, PeerCall::Revoke, &revoke, Connection::New, wait + GRACE)
     }
 
     /// Asks what became of the tickets whose outcome was unknown when their time was up.
@@ -266,7 +266,7 @@
             let reply = if guard.daemon == self.settings.name {
                 Ok(self.guard.revoke(&revoke))
             } else {
-                self.peers.call(address, PeerCall::Revoke, &revoke, Connection::Fresh, LEDGER_TIMEOUT)
+                self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, LEDGER_TIMEOUT)
             };
             match reply.map(judge_revoke) {
                 Ok(Verdict::Settle(outcome)) => _ = self.home.settle(sequence, outcome),
@@ -278,7 +278,7 @@
 
     /// The home can't be asked: its guards may have a record. Silence proves nothing, so without a
     /// record it stays unknown.
-    fn ask_ledgers(&self, order: Order<'_>, ticket: &Ticket) -> Outcome {
+    fn ask_ledgers(&self, order: RequestContext<'_>, ticket: &Ticket) -> Outcome {
         for guard in self.view.guards(order.service) {
             if order.left().is_zero() {
                 break;
@@ -297,7 +297,7 @@
             return Some(self.guard.status(ticket));
         }
         let query = TicketQuery { ticket: ticket.clone() };
-        self.peers.call(guard.peers, PeerCall::Ledger, &query, Connection::Fresh, LEDGER_TIMEOUT).ok()
+        self.peers.call(guard.peers, PeerCall::Ledger, &query, Connection::New, LEDGER_TIMEOUT).ok()
     }
 
     /// Whether a refusal of this very request would leave its caller with an untruth, because an
@@ -319,16 +319,21 @@
         }
         let address = address_of(self, &ticket.home)?;
         let query = TicketQuery { ticket: ticket.clone() };
-        self.peers.call(address, PeerCall::Ticket, &query, Connection::Fresh, LEDGER_TIMEOUT).ok()
+        self.peers.call(address, PeerCall::Ticket, &query, Connection::New, LEDGER_TIMEOUT).ok()
     }
 
-    fn choose(&self, order: Order<'_>, idempotent: bool, tried: &[Arc<Target>]) -> Result<Arc<Target>, Refusal> {
+    fn choose(
+        &self,
+        order: RequestContext<'_>,
+        idempotent: bool,
+        tried: &[Arc<Target>],
+    ) -> Result<Arc<Target>, Refusal> {
         RNG.with_borrow_mut(|rng| self.view.choose(order.service, order.importance, idempotent, tried, rng))
     }
 
     /// Whether the last attempt may be followed by another one; takes it out of the class's budget
     /// if it costs the endpoints anything.
-    fn may_retry(&self, order: Order<'_>, last: &Outcome) -> bool {
+    fn may_retry(&self, order: RequestContext<'_>, last: &Outcome) -> bool {
         free_retry(last) || self.budgets.spend(order.class)
     }
 
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -13,13 +13,13 @@
 };
 
 /// The records of this daemon's tickets.
-pub(crate) struct HomeDesk {
+pub(crate) struct IssuedTickets {
     home: Mutex<Home>,
     /// Told whenever a run ends.
     ended: Condvar,
 }
 
-impl HomeDesk {
+impl IssuedTickets {
     pub(crate) fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
         Self { home: Mutex::new(Home::new(daemon, incarnation)), ended: Condvar::new() }
     }
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -37,7 +37,7 @@
     daemons: usize,
     daemons_down: usize,
     ticket_records: usize,
-    guard: super::guard::GuardCount,
+    guard: super::guard::LedgerCounts,
     endpoints: Vec<EndpointRow>,
     services: Vec<ServiceCount>,
 }
@@ -137,7 +137,7 @@
         RolloutStatus { daemons: peers.len() + 1, active: 0, outdated: Vec::new(), unreachable: Vec::new() };
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
-        let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
+        let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::New, CONTROL_TIMEOUT);
         let has = answer.ok().map(|it: InForce| it.version);
         count.add(&row.daemon, has, version);
     }
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -13,7 +13,7 @@
     daemon::{
         Daemon,
         http_client::Connection,
-        peers::{CONTROL_TIMEOUT, PeerCall, Probe, Probed},
+        peers::{CONTROL_TIMEOUT, PeerCall, Probe, ProbeReply},
     },
     rows::{Compare, Compared, Deliver, Delivered, Row, Stamp},
     store::presence_prefix,
@@ -100,8 +100,8 @@
     };
     helpers.iter().any(|helper| {
         let probe = Probe { address };
-        let call = daemon.peers.call(*helper, PeerCall::Probe, &probe, Connection::Fresh, CONTROL_TIMEOUT);
-        call.is_ok_and(|it: Probed| it.answered)
+        let call = daemon.peers.call(*helper, PeerCall::Probe, &probe, Connection::New, CONTROL_TIMEOUT);
+        call.is_ok_and(|it: ProbeReply| it.answered)
     })
 }
 
@@ -109,10 +109,10 @@
 fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), Silence> {
     let compare = Compare::new(&lock(&daemon.table), daemon.config.version());
     let call = |call, message: &Deliver| {
-        daemon.peers.call::<_, Delivered>(address, call, message, Connection::Fresh, CONTROL_TIMEOUT)
+        daemon.peers.call::<_, Delivered>(address, call, message, Connection::New, CONTROL_TIMEOUT)
     };
     let compared: Compared =
-        daemon.peers.call(address, PeerCall::Compare, &compare, Connection::Fresh, CONTROL_TIMEOUT)?;
+        daemon.peers.call(address, PeerCall::Compare, &compare, Connection::New, CONTROL_TIMEOUT)?;
     if compared.version > daemon.config.version() {
         daemon.fetch_from_peer(address);
     }
@@ -164,6 +164,6 @@
 
     /// Whether a daemon answers at an address.
     pub(crate) fn answers(&self, address: SocketAddr, timeout: Duration) -> bool {
-        self.peers.send(address, PeerCall::InForce, Vec::new(), 0, Connection::Fresh, timeout).is_ok()
+        self.peers.send(address, PeerCall::InForce, Vec::new(), 0, Connection::New, timeout).is_ok()
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -41,15 +41,15 @@
 
 use crate::{
     daemon::{
-        active_config::ConfigCell,
-        endpoint_view::View,
-        guard::{GuardDesk, Hooks, Measure},
+        active_config::ActiveConfig,
+        endpoint_view::EndpointView,
+        guard::{EjectionContext, ExecutionHooks, LocalGuard},
         http_client::Client,
         http_server::{Listener, Request},
-        issued_tickets::HomeDesk,
-        peers::Peers,
+        issued_tickets::IssuedTickets,
+        peers::PeerClient,
         phase::{Phase, PhaseCell, PhaseEvent},
-        thread_pool::Pool,
+        thread_pool::ThreadPool,
     },
     decide::ClassRetryBudget,
     error::Error,
@@ -81,17 +81,17 @@
 const BUCKETS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
 /// The pools of threads, so that no kind of work takes another's.
-struct Pools {
-    callers: Pool,
-    work: Pool,
-    control: Pool,
+struct ThreadPools {
+    callers: ThreadPool,
+    work: ThreadPool,
+    control: ThreadPool,
 }
 
 /// The retry budgets by class.
 #[derive(Default)]
-struct Budgets(Mutex<BTreeMap<Box<str>, ClassRetryBudget>>);
+struct RetryBudgets(Mutex<BTreeMap<Box<str>, ClassRetryBudget>>);
 
-impl Budgets {
+impl RetryBudgets {
     fn earn(&self, class: &str) {
         self.with(class, ClassRetryBudget::deposit);
     }
@@ -115,16 +115,16 @@
     incarnation: Incarnation,
     started: Instant,
     phase: PhaseCell,
-    config: ConfigCell,
+    config: ActiveConfig,
     table: Mutex<Table>,
-    view: View,
-    home: HomeDesk,
-    guard: GuardDesk,
+    view: EndpointView,
+    home: IssuedTickets,
+    guard: LocalGuard,
     client: Arc<Client>,
-    peers: Peers,
+    peers: PeerClient,
     platform: Box<dyn ObjectStore>,
-    pools: Pools,
-    budgets: Budgets,
+    pools: ThreadPools,
+    budgets: RetryBudgets,
     working: Arc<AtomicUsize>,
     news: crossbeam::channel::Sender<Vec<Row>>,
     metrics: PrometheusHandle,
@@ -232,20 +232,20 @@
             incarnation,
             started: now,
             phase: PhaseCell::default(),
-            config: ConfigCell::default(),
+            config: ActiveConfig::default(),
             table: Mutex::new(Table::new(row, OwnClaims::Stand, now)),
-            view: View::new(settings.data_centre.clone()),
-            home: HomeDesk::new(settings.name.clone(), incarnation),
-            guard: GuardDesk::new(incarnation),
-            peers: Peers::new(Arc::clone(&client), settings.peer_key.clone()),
+            view: EndpointView::new(settings.data_centre.clone()),
+            home: IssuedTickets::new(settings.name.clone(), incarnation),
+            guard: LocalGuard::new(incarnation),
+            peers: PeerClient::new(Arc::clone(&client), settings.peer_key.clone()),
             client,
             platform: Box::new(StoreClient::new(settings.platform)),
-            pools: Pools {
-                callers: Pool::new("caller", CALLER_THREADS),
-                work: Pool::new("work", WORK_THREADS),
-                control: Pool::new("control", CONTROL_THREADS),
+            pools: ThreadPools {
+                callers: ThreadPool::new("caller", CALLER_THREADS),
+                work: ThreadPool::new("work", WORK_THREADS),
+                control: ThreadPool::new("control", CONTROL_THREADS),
             },
-            budgets: Budgets::default(),
+            budgets: RetryBudgets::default(),
             working: Arc::default(),
             news,
             metrics: metrics_recorder()?,
@@ -277,17 +277,20 @@
     /// Runs a dispatch on an endpoint of this guard.
     fn execute(&self, dispatch: &Dispatch) -> DispatchReply {
         let working = self.working();
-        let hooks = Hooks { measure: &|it| self.measure(it), changed: &|| self.refresh_row() };
+        let hooks = ExecutionHooks { measure: &|it| self.measure(it), changed: &|| self.refresh_row() };
         let reply = self.guard.execute(&self.client, dispatch, &hooks);
         working.close();
         reply
     }
 
-    fn measure(&self, endpoint: &str) -> Measure {
+    fn measure(&self, endpoint: &str) -> EjectionContext {
         let service = self.guard.service_of(endpoint).unwrap_or_default();
         let config = self.config.get();
         let weighs = config.as_ref().and_then(|it| it.directory.service(&service)).map(|it| it.weighs);
-        Measure { baseline: self.view.baseline(&service, endpoint), weighs: weighs.unwrap_or(Weighs::FalseEjections) }
+        EjectionContext {
+            baseline: self.view.baseline(&service, endpoint),
+            weighs: weighs.unwrap_or(Weighs::FalseEjections),
+        }
     }
 
     /// Brings the own row up to date with the guard's endpoints.
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -53,11 +53,11 @@
     Deliver,
     /// `Push` to nothing.
     Push,
-    /// `Probe` to `Probed`.
+    /// `Probe` to `ProbeReply`.
     Probe,
     /// Nothing to the coded root.
     Root,
-    /// `WantParts` to `GotParts`.
+    /// `PartsRequest` to `PartsReply`.
     Parts,
     /// Nothing to `InForce`.
     InForce,
@@ -102,29 +102,29 @@
 
 /// Whether the probed daemon answered.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(crate) struct Probed {
+pub(crate) struct ProbeReply {
     pub(crate) answered: bool,
 }
 
 /// Asks for parts of the configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct WantParts {
+pub(crate) struct PartsRequest {
     pub(crate) parts: Vec<PartRef>,
 }
 
 /// The first few of the parts that were asked for, in order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct GotParts {
+pub(crate) struct PartsReply {
     pub(crate) parts: Vec<ByteBuf>,
 }
 
 /// Calls to other daemons.
-pub(crate) struct Peers {
+pub(crate) struct PeerClient {
     client: Arc<Client>,
     key: Box<str>,
 }
 
-impl Peers {
+impl PeerClient {
     pub(crate) fn new(client: Arc<Client>, key: Box<str>) -> Self {
         Self { client, key }
     }
@@ -163,7 +163,7 @@
         timeout: Duration,
     ) -> Result<Outcome, Silence> {
         let bytes = encode(forward);
-        let bytes = self.send(address, PeerCall::Forward, bytes, forward.importance, Connection::Fresh, timeout)?;
+        let bytes = self.send(address, PeerCall::Forward, bytes, forward.importance, Connection::New, timeout)?;
         decode(&bytes).map_err(|_| Silence::Lost)
     }
 
@@ -263,11 +263,11 @@
         }
         PeerCall::Probe => {
             let it: Probe = decode(body).ok()?;
-            Some(encode(&Probed { answered: daemon.answers(it.address, PROBE_TIMEOUT) }))
+            Some(encode(&ProbeReply { answered: daemon.answers(it.address, PROBE_TIMEOUT) }))
         }
         PeerCall::Root => Some(daemon.config.get()?.root_bytes.clone()),
         PeerCall::Parts => {
-            let it: WantParts = decode(body).ok()?;
+            let it: PartsRequest = decode(body).ok()?;
             Some(encode(&got_parts(&*daemon.config.get()?, &it)))
         }
         PeerCall::InForce => Some(encode(&InForce { version: daemon.config.version() })),
@@ -275,8 +275,8 @@
 }
 
 /// As many of the wanted parts as fit into one answer, but one at least.
-fn got_parts(config: &Config, want: &WantParts) -> GotParts {
-    let mut got = GotParts { parts: Vec::new() };
+fn got_parts(config: &Config, want: &PartsRequest) -> PartsReply {
+    let mut got = PartsReply { parts: Vec::new() };
     let mut size = 0;
     for it in &want.parts {
         let Some(part) = config.part(&it.0) else { break };
--- a/src/daemon/thread_pool.rs
+++ b/src/daemon/thread_pool.rs
@@ -23,7 +23,7 @@
 
 /// A pool of threads.
 #[derive(Clone)]
-pub(crate) struct Pool {
+pub(crate) struct ThreadPool {
     name: &'static str,
     limit: usize,
     threads: Arc<AtomicUsize>,
@@ -31,7 +31,7 @@
     rx: Receiver<Job>,
 }
 
-impl Pool {
+impl ThreadPool {
     /// A pool of `limit` threads at most.
     pub(crate) fn new(name: &'static str, limit: usize) -> Self {
         // Without a buffer, a send succeeds only if a thread is waiting.
