--- a/src/daemon/active_config.rs
+++ b/src/daemon/active_config.rs
@@ -63,14 +63,14 @@
         if root.version <= self.version() {
             return Ok(None);
         }
-        let parts = self.gather(&root, fetch)?;
+        let parts = self.collect_parts(&root, fetch)?;
         let directory = Directory::build(ROOT_KEY, &parts)?;
         let config = Arc::new(Config { root, root_bytes, directory, parts });
-        self.put_in_force(&config);
+        self.activate(&config);
         Ok(Some(config))
     }
 
-    fn gather(
+    fn collect_parts(
         &self,
         root: &Root,
         fetch: impl Fn(&[PartRef]) -> Option<Vec<Vec<u8>>>,
@@ -93,7 +93,7 @@
         Ok(root.parts.iter().filter_map(|it| held(it).or_else(|| fetched.next())).collect())
     }
 
-    fn put_in_force(&self, config: &Arc<Config>) {
+    fn activate(&self, config: &Arc<Config>) {
         let mut current = self.current.write().unwrap_or_else(PoisonError::into_inner);
         let before = current.as_ref().map_or(0, |it| it.root.version);
         assert!(before < config.root.version, "a configuration never goes back");
--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -62,12 +62,12 @@
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
     let config = daemon.config.get();
     let found = config.as_ref().and_then(|it| it.directory.route(path(req.target())));
-    let share = found.map_or(0.5, |it| daemon.share(it.class.importance));
+    let share = found.map_or(0.5, |it| daemon.pool_share(it.class.importance));
     let cx = Arc::clone(daemon);
     let refused = daemon.pools.callers.answer(req, share, move |req| {
-        let working = cx.working();
+        let tracked = cx.track_request();
         answer(&cx, req);
-        working.close();
+        tracked.close();
     });
     if let Some(req) = refused {
         refuse_truly(req, Refusal::Overloaded, |ticket| daemon.may_have_run_by_records(ticket));
@@ -84,7 +84,7 @@
     match prepare(daemon, &config, &req) {
         Ok(order) => run(daemon, &config, req, order),
         // A ticket rides on the refusal, so that the caller needs no call of its own for it.
-        Err(Refusal::TicketNeeded) => refuse(req, Refusal::TicketNeeded, Some(daemon.home.issue(1).remove(0))),
+        Err(Refusal::TicketNeeded) => refuse(req, Refusal::TicketNeeded, Some(daemon.tickets.issue(1).remove(0))),
         Err(Refusal::ShuttingDown) => refuse_truly(req, Refusal::ShuttingDown, |it| daemon.may_have_run(it)),
         // Other daemons are not troubled for a request that is wrong in itself.
         Err(refusal) => refuse_truly(req, refusal, |it| daemon.may_have_run_by_records(it)),
@@ -100,7 +100,7 @@
 }
 
 fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<Prepared, Refusal> {
-    if daemon.leaving() {
+    if daemon.is_leaving() {
         return Err(Refusal::ShuttingDown);
     }
     let arrived = Instant::now();
@@ -291,13 +291,13 @@
 }
 
 fn issue(daemon: &Daemon, req: Request, target: &str) {
-    if daemon.leaving() {
+    if daemon.is_leaving() {
         return refuse(req, Refusal::ShuttingDown, None);
     }
     let count = query(target, "count").map_or(Some(1), |it| it.parse().ok());
     match count.filter(|it| (1..=TICKETS_LIMIT).contains(it)) {
         Some(count) => {
-            let tickets: Vec<_> = daemon.home.issue(count).iter().map(Ticket::to_string).collect();
+            let tickets: Vec<_> = daemon.tickets.issue(count).iter().map(Ticket::to_string).collect();
             respond_json(req, 200, &tickets);
         }
         None => refuse(req, Refusal::BadRequest, None),
--- a/src/daemon/config_watch.rs
+++ b/src/daemon/config_watch.rs
@@ -103,7 +103,7 @@
 }
 
 /// Writes the presence object, by which others find this daemon when they join.
-pub(crate) fn announce(daemon: &Arc<Daemon>) {
+pub(crate) fn write_presence(daemon: &Arc<Daemon>) {
     let key = own_key(daemon);
     let mut backoff = BACKOFF.0;
     while let Err(error) = daemon.platform.put(&key, b"", Expect::Anything) {
@@ -114,7 +114,7 @@
 }
 
 /// Removes the presence object; if that fails, joiners try the address in vain.
-pub(crate) fn withdraw(daemon: &Daemon) {
+pub(crate) fn remove_presence(daemon: &Daemon) {
     if let Err(error) = daemon.platform.remove(&own_key(daemon)) {
         log::debug!("removing the presence object: {error}");
     }
@@ -154,10 +154,10 @@
         match self.config.adopt(root, fetch) {
             Ok(None) => true,
             Ok(Some(config)) => {
-                self.view.refloor(&config.directory);
-                self.phase.on(PhaseEvent::Configured);
+                self.view.update_floors(&config.directory);
+                self.phase.handle(PhaseEvent::Configured);
                 log::info!(version = config.root.version; "configuration in force");
-                self.tell_news(Vec::new());
+                self.queue_gossip(Vec::new());
                 true
             }
             Err(error) => {
--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -37,12 +37,12 @@
 
 impl Guard {
     /// The guard answered, whatever it said.
-    pub(crate) fn answered(&self) {
+    pub(crate) fn record_success(&self) {
         lock(&self.path).record_success();
     }
 
     /// The guard could not be reached or gave no answer.
-    pub(crate) fn failed(&self) {
+    pub(crate) fn record_failure(&self) {
         lock(&self.path).record_failure(Instant::now());
         metrics::counter!("jayreach_path_failures_total").increment(1);
     }
@@ -71,13 +71,13 @@
 
 impl Target {
     /// Takes in what the guard told with an answer.
-    pub(crate) fn tell(&self, reply: &DispatchReply) {
+    pub(crate) fn record_reply(&self, reply: &DispatchReply) {
         let told = Told { load: reply.load, admits: reply.admits, at: Instant::now() };
         *lock(&self.load.told) = Some(told);
     }
 
     /// Counts work in flight until the value is closed.
-    pub(crate) fn start(&self) -> InFlight {
+    pub(crate) fn start_request(&self) -> InFlight {
         self.load.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(&self.load))
     }
@@ -157,7 +157,7 @@
     }
 
     /// Takes a row in; `directory` gives the floors.
-    pub(crate) fn apply(&self, row: &Row, directory: Option<&Directory>) {
+    pub(crate) fn apply_row(&self, row: &Row, directory: Option<&Directory>) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.daemon));
         let known = found.ok().map(|at| inner.guards.remove(at));
@@ -179,7 +179,7 @@
     }
 
     /// Applies the floors of a new configuration.
-    pub(crate) fn refloor(&self, directory: &Directory) {
+    pub(crate) fn update_floors(&self, directory: &Directory) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         for service in &mut inner.services {
             let targets = service.targets.clone();
@@ -203,7 +203,7 @@
     }
 
     /// Chooses a target for work, or says why there is none.
-    pub(crate) fn choose(
+    pub(crate) fn choose_target(
         &self,
         service: &str,
         importance: Importance,
@@ -230,7 +230,7 @@
     }
 
     /// The failure rate of a service's endpoints other than `except`.
-    pub(crate) fn baseline(&self, service: &str, except: &str) -> f64 {
+    pub(crate) fn baseline_failure_rate(&self, service: &str, except: &str) -> f64 {
         let Some(service) = self.service(service) else { return 0.0 };
         let others = service.targets.iter().filter(|it| *it.row.id != *except);
         let mut levels: Vec<u8> = others.map(|it| it.row.failures).collect();
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -82,28 +82,28 @@
 
 impl Daemon {
     /// Takes rows in, brings the view up to date and passes the news on.
-    pub(crate) fn take_rows(&self, rows: Vec<Row>) {
+    pub(crate) fn merge_rows(&self, rows: Vec<Row>) {
         let mut table = lock(&self.table);
         let news = table.merge_all(rows, Instant::now());
-        self.view_news(&news);
+        self.apply_rows(&news);
         drop(table);
         if !news.is_empty() {
-            self.tell_news(news);
+            self.queue_gossip(news);
         }
     }
 
     /// Brings the view up to date; called under the table's lock.
-    pub(crate) fn view_news(&self, news: &[Row]) {
+    pub(crate) fn apply_rows(&self, news: &[Row]) {
         for row in news {
-            self.take_in(row);
+            self.apply_row(row);
         }
     }
 
     /// Takes a push in.
-    pub(crate) fn pushed(self: &Arc<Self>, push: Push) {
+    pub(crate) fn handle_push(self: &Arc<Self>, push: Push) {
         if push.version > self.config.version() {
             self.fetch_from_peer(push.sender);
         }
-        self.take_rows(push.rows);
+        self.merge_rows(push.rows);
     }
 }
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -25,11 +25,11 @@
 };
 
 /// After so long a silence an endpoint gets no new work (issue 3, towards endpoints).
-const SILENCE: Duration = Duration::from_secs(3);
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long the row of an endpoint that is gone is kept.
-const FORGET_GONE: Duration = Duration::from_secs(30);
+const GONE_RETENTION: Duration = Duration::from_secs(30);
 /// With less than this left, work is not sent any more.
-const LEAST_BUDGET: Duration = Duration::from_millis(1);
+const MIN_BUDGET: Duration = Duration::from_millis(1);
 
 /// What an endpoint says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -70,18 +70,18 @@
 /// What a guard asks of its daemon while it runs a dispatch.
 pub(crate) struct ExecutionHooks<'a> {
     /// What an endpoint's service weighs, and how its others fare.
-    pub(crate) measure: &'a dyn Fn(&str) -> EjectionContext,
+    pub(crate) ejection_context: &'a dyn Fn(&str) -> EjectionContext,
     /// The endpoint's row has to be told anew.
-    pub(crate) changed: &'a dyn Fn(),
+    pub(crate) row_changed: &'a dyn Fn(),
 }
 
 struct Endpoint {
     id: EndpointId,
     service: Box<str>,
     slots: u16,
-    last_heard: Instant,
-    standing: EndpointHealth,
-    gate: AdmissionController,
+    last_announced: Instant,
+    health: EndpointHealth,
+    admission: AdmissionController,
     waiters: Vec<(WaiterId, Sender<AdmissionDecision>)>,
 }
 
@@ -97,7 +97,7 @@
     incarnation: Incarnation,
     inner: Mutex<Inner>,
     /// Told whenever a line of the ledger ends.
-    ended: Condvar,
+    run_ended: Condvar,
     next_waiter: AtomicU64,
 }
 
@@ -110,7 +110,7 @@
 
 impl LocalGuard {
     pub(crate) fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, inner: Mutex::default(), ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
+        Self { incarnation, inner: Mutex::default(), run_ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
     }
 
     /// Takes an announcement; returns whether the row changed.
@@ -125,17 +125,17 @@
             }
         };
         let endpoint = &mut inner.endpoints[at];
-        endpoint.last_heard = now;
-        let resized = endpoint.slots != it.slots || endpoint.service != it.service;
+        endpoint.last_announced = now;
+        let row_edited = endpoint.slots != it.slots || endpoint.service != it.service;
         endpoint.slots = it.slots;
         endpoint.service = it.service.clone();
-        endpoint.gate.set_slots(it.slots);
+        endpoint.admission.set_slots(it.slots);
         let event = match it.state {
             AnnouncedState::Starting => EndpointEvent::AnnouncedStarting,
             AnnouncedState::Serving => EndpointEvent::AnnouncedServing,
             AnnouncedState::Leaving => EndpointEvent::AnnouncedLeaving,
         };
-        endpoint.on(event, now) || resized
+        endpoint.handle(event, now) || row_edited
     }
 
     /// Lets time pass; returns whether the row changed.
@@ -143,14 +143,14 @@
         let mut inner = lock(&self.inner);
         let mut changed = false;
         for endpoint in &mut inner.endpoints {
-            let silent = now.saturating_duration_since(endpoint.last_heard) >= SILENCE;
-            changed |= silent && endpoint.on(EndpointEvent::Silent, now);
-            changed |= endpoint.standing.tick(now);
+            let timed_out = now.saturating_duration_since(endpoint.last_announced) >= ANNOUNCEMENT_TIMEOUT;
+            changed |= timed_out && endpoint.handle(EndpointEvent::Silent, now);
+            changed |= endpoint.health.tick(now);
         }
         let count = inner.endpoints.len();
         inner.endpoints.retain(|it| {
-            let gone = it.standing.state() == EndpointState::Gone && it.gate.running() == 0;
-            !gone || now.saturating_duration_since(it.last_heard) < FORGET_GONE
+            let gone = it.health.state() == EndpointState::Gone && it.admission.running() == 0;
+            !gone || now.saturating_duration_since(it.last_announced) < GONE_RETENTION
         });
         changed || count != inner.endpoints.len()
     }
@@ -174,19 +174,19 @@
 
     /// Runs a dispatch.
     pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> DispatchReply {
-        let outcome = self.run(client, dispatch, hooks);
+        let outcome = self.run_dispatch(client, dispatch, hooks);
         let inner = lock(&self.inner);
-        let gate = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].gate);
-        let (load, admits) = gate.map_or((0, 0), |it| (it.load(), it.min_importance()));
+        let admission = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].admission);
+        let (load, admits) = admission.map_or((0, 0), |it| (it.load(), it.min_importance()));
         DispatchReply { outcome, load, admits }
     }
 
-    fn run(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
+    fn run_dispatch(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
         }
         let Some(leg) = &dispatch.leg else {
-            return self.run_once(client, dispatch, hooks);
+            return self.run_on_endpoint(client, dispatch, hooks);
         };
         match lock(&self.inner).ledger.open(leg) {
             Opening::Run => (),
@@ -194,14 +194,14 @@
             Opening::Ended(outcome) => return outcome,
             Opening::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
-        let outcome = self.run_once(client, dispatch, hooks);
+        let outcome = self.run_on_endpoint(client, dispatch, hooks);
         lock(&self.inner).ledger.finish(&leg.ticket, outcome.clone());
-        self.ended.notify_all();
+        self.run_ended.notify_all();
         outcome
     }
 
     /// Admits the work, passes it to the endpoint and takes the evidence.
-    fn run_once(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
+    fn run_on_endpoint(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         let started = Instant::now();
         let deadline = started + Duration::from_millis(dispatch.budget_ms);
         if let Err(refusal) = self.admit(dispatch, deadline) {
@@ -210,44 +210,44 @@
         }
         let admitted = Instant::now();
         let left = deadline.saturating_duration_since(admitted);
-        let (outcome, sample) = if left < LEAST_BUDGET {
+        let (outcome, sample) = if left < MIN_BUDGET {
             (Outcome::NotRun(Refusal::TooLate), None)
         } else {
             endpoint::call(client, dispatch, left)
         };
         let now = Instant::now();
-        let measure = (hooks.measure)(&dispatch.endpoint);
+        let context = (hooks.ejection_context)(&dispatch.endpoint);
         if outcome == Outcome::Unknown(Doubt::EndpointSilent) {
             // The endpoint's slot stays in use until the cancellation has reached it.
             endpoint::cancel(client, dispatch);
         }
-        if self.leave(&dispatch.endpoint, now - admitted, sample, measure, now) {
-            (hooks.changed)();
+        if self.finish_request(&dispatch.endpoint, now - admitted, sample, context, now) {
+            (hooks.row_changed)();
         }
         outcome
     }
 
     fn admit(&self, dispatch: &Dispatch, deadline: Instant) -> Result<(), Refusal> {
         let id = self.next_waiter.fetch_add(1, Ordering::Relaxed);
-        let arrival = AdmissionRequest { id, importance: dispatch.importance, deadline };
+        let request = AdmissionRequest { id, importance: dispatch.importance, deadline };
         let (tx, rx) = bounded(1);
         {
             let mut inner = lock(&self.inner);
             let at = inner.find(&dispatch.endpoint).ok_or(Refusal::EndpointLeaving)?;
             let endpoint = &mut inner.endpoints[at];
-            if !endpoint.standing.accepts_work() {
+            if !endpoint.health.accepts_work() {
                 return Err(Refusal::EndpointLeaving);
             }
-            let (admission, evicted) = endpoint.gate.admit(arrival, Instant::now());
-            endpoint.release(evicted);
-            match admission {
+            let (decision, evicted) = endpoint.admission.admit(request, Instant::now());
+            endpoint.deliver_decision(evicted);
+            match decision {
                 AdmissionDecision::Admit => return Ok(()),
                 AdmissionDecision::Refuse(refusal) => return Err(refusal),
                 AdmissionDecision::Queue => endpoint.waiters.push((id, tx)),
             }
         }
-        let decided = rx.recv_deadline(deadline).ok();
-        match decided.unwrap_or_else(|| self.give_up(&dispatch.endpoint, id, &rx)) {
+        let received = rx.recv_deadline(deadline).ok();
+        match received.unwrap_or_else(|| self.cancel_waiter(&dispatch.endpoint, id, &rx)) {
             AdmissionDecision::Admit => Ok(()),
             AdmissionDecision::Refuse(refusal) => Err(refusal),
             AdmissionDecision::Queue => unreachable!("a release never says wait"),
@@ -255,7 +255,7 @@
     }
 
     /// The deadline came first, unless the decision was under way.
-    fn give_up(
+    fn cancel_waiter(
         &self,
         endpoint: &str,
         id: WaiterId,
@@ -264,7 +264,7 @@
         let mut inner = lock(&self.inner);
         let Some(at) = inner.find(endpoint) else { return AdmissionDecision::Refuse(Refusal::EndpointLeaving) };
         let endpoint = &mut inner.endpoints[at];
-        if endpoint.gate.cancel(id) {
+        if endpoint.admission.cancel(id) {
             endpoint.waiters.retain(|it| it.0 != id);
             return AdmissionDecision::Refuse(Refusal::TooLate);
         }
@@ -272,28 +272,28 @@
     }
 
     /// Frees the slot and takes the evidence; returns whether the row changed.
-    fn leave(
+    fn finish_request(
         &self,
         endpoint: &str,
         took: Duration,
         sample: Option<Sample>,
-        measure: EjectionContext,
+        context: EjectionContext,
         now: Instant,
     ) -> bool {
         let mut inner = lock(&self.inner);
         let at = inner.find(endpoint).expect("an endpoint stays while work is running there");
         let endpoint = &mut inner.endpoints[at];
         let before = endpoint.row();
-        for release in endpoint.gate.release_slot(took, now) {
-            endpoint.release(Some(release));
+        for decision in endpoint.admission.release_slot(took, now) {
+            endpoint.deliver_decision(Some(decision));
         }
         if let Some(sample) = sample {
-            let state = endpoint.standing.state();
-            if endpoint.standing.record_sample(sample, measure.baseline, measure.weighs, now) {
-                log_change(&endpoint.id, state, endpoint.standing.state());
+            let state = endpoint.health.state();
+            if endpoint.health.record_sample(sample, context.baseline, context.weighs, now) {
+                log_change(&endpoint.id, state, endpoint.health.state());
             }
         }
-        tells_more(&before, &endpoint.row())
+        is_worth_gossip(&before, &endpoint.row())
     }
 
     /// Makes sure an attempt will not run, waiting a while for one that is running.
@@ -309,7 +309,7 @@
             if reply != RevokeReply::Running || left.is_zero() {
                 return reply;
             }
-            let waited = self.ended.wait_timeout(inner, left);
+            let waited = self.run_ended.wait_timeout(inner, left);
             inner = waited.unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
     }
@@ -332,9 +332,9 @@
             id,
             service: it.service.clone(),
             slots: it.slots,
-            last_heard: now,
-            standing: EndpointHealth::new(EjectionConfig::default(), now),
-            gate: AdmissionController::new(it.slots),
+            last_announced: now,
+            health: EndpointHealth::new(EjectionConfig::default(), now),
+            admission: AdmissionController::new(it.slots),
             waiters: Vec::new(),
         }
     }
@@ -344,28 +344,28 @@
             id: self.id.clone(),
             service: self.service.clone(),
             slots: self.slots,
-            state: self.standing.state(),
-            failures: failure_level(self.standing.failure_rate()),
+            state: self.health.state(),
+            failures: failure_level(self.health.failure_rate()),
         }
     }
 
-    fn on(&mut self, event: EndpointEvent, now: Instant) -> bool {
-        let before = self.standing.state();
-        let changed = self.standing.handle(event, now);
+    fn handle(&mut self, event: EndpointEvent, now: Instant) -> bool {
+        let before = self.health.state();
+        let changed = self.health.handle(event, now);
         if changed {
-            log_change(&self.id, before, self.standing.state());
+            log_change(&self.id, before, self.health.state());
         }
-        if !self.standing.accepts_work() {
-            for release in self.gate.refuse_waiters(Refusal::EndpointLeaving) {
-                self.release(Some(release));
+        if !self.health.accepts_work() {
+            for decision in self.admission.refuse_waiters(Refusal::EndpointLeaving) {
+                self.deliver_decision(Some(decision));
             }
         }
         changed
     }
 
     /// Tells a waiter what became of it.
-    fn release(&mut self, release: Option<WaiterDecision>) {
-        let Some(WaiterDecision { id, decision }) = release else { return };
+    fn deliver_decision(&mut self, decision: Option<WaiterDecision>) {
+        let Some(WaiterDecision { id, decision }) = decision else { return };
         let at = self.waiters.iter().position(|it| it.0 == id).expect("each waiter has a channel");
         let (_, tx) = self.waiters.swap_remove(at);
         tx.send(decision).expect("a waiter takes itself out before it goes");
@@ -379,6 +379,6 @@
 }
 
 /// Whether the fleet must hear of a change at once; load alone rides on answers.
-fn tells_more(before: &EndpointRow, after: &EndpointRow) -> bool {
+fn is_worth_gossip(before: &EndpointRow, after: &EndpointRow) -> bool {
     before.state != after.state || before.failures.abs_diff(after.failures) >= 2
 }
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -17,7 +17,7 @@
         Daemon,
         endpoint_view::{Guard, Target},
         http_client::Connection,
-        peers::{PeerCall, address_of},
+        peers::{PeerCall, peer_address},
     },
     targets::Importance,
     ticket::{Begin, GuardRef, Silence, Verdict, judge_reply, judge_revoke, judge_silence},
@@ -77,7 +77,7 @@
 impl Daemon {
     /// Runs idempotent work.
     pub(crate) fn run_idempotent(&self, order: RequestContext<'_>, work: &Work) -> Outcome {
-        self.budgets.earn(order.class);
+        self.budgets.deposit(order.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
         let mut kept = None;
@@ -85,7 +85,7 @@
             if !tried.is_empty() && !self.may_retry(order, &last) {
                 break;
             }
-            let target = match self.choose(order, true, &tried) {
+            let target = match self.choose_target(order, true, &tried) {
                 Ok(it) => it,
                 Err(refusal) if tried.is_empty() => return Outcome::NotRun(refusal),
                 Err(_) => break,
@@ -126,7 +126,7 @@
             work: attempt.work.clone(),
         };
         let ticketed = dispatch.leg.is_some();
-        let in_flight = target.start();
+        let in_flight = target.start_request();
         let result = if self.is_self(&target.guard) {
             Ok(self.execute(&dispatch))
         } else {
@@ -135,14 +135,14 @@
         in_flight.close();
         match &result {
             Ok(reply) => {
-                target.guard.answered();
-                target.tell(reply);
+                target.guard.record_success();
+                target.record_reply(reply);
             }
             Err(Silence::NoLocalPort) => (),
-            Err(Silence::Refused) => target.guard.failed(),
+            Err(Silence::Refused) => target.guard.record_failure(),
             // A ticketed attempt is asked about before its path is blamed.
             Err(Silence::Lost) if ticketed => (),
-            Err(Silence::Lost) => target.guard.failed(),
+            Err(Silence::Lost) => target.guard.record_failure(),
         }
         result
     }
@@ -160,7 +160,7 @@
         if ticket.home == self.settings.name {
             return self.run_at_home(&forward);
         }
-        let Some(address) = address_of(self, &ticket.home) else {
+        let Some(address) = peer_address(self, &ticket.home) else {
             return self.ask_ledgers(order, ticket);
         };
         match self.peers.forward(address, &forward, order.left() + GRACE) {
@@ -175,13 +175,13 @@
         let deadline = Instant::now() + Duration::from_millis(forward.budget_ms);
         let Forward { service, class, importance, .. } = forward;
         let order = RequestContext { service, class, importance: *importance, deadline };
-        if self.leaving() && !self.may_have_run(&forward.ticket) {
+        if self.is_leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
-        match self.home.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
+        match self.tickets.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
             Begin::Run => {
                 let outcome = self.run_attempts(order, &forward.ticket, &forward.work);
-                Outcome::clone(&self.home.settle(forward.ticket.sequence, outcome))
+                Outcome::clone(&self.tickets.settle(forward.ticket.sequence, outcome))
             }
             Begin::Ended(outcome) => Outcome::clone(&outcome),
             Begin::Join => Outcome::Unknown(Doubt::StillRunning),
@@ -196,12 +196,12 @@
     fn run_attempts(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
-        self.budgets.earn(order.class);
+        self.budgets.deposit(order.class);
         while tried.len() < ATTEMPTS && !order.left().is_zero() {
             if !tried.is_empty() && !self.may_retry(order, &Outcome::NotRun(last)) {
                 break;
             }
-            let target = match self.choose(order, false, &tried) {
+            let target = match self.choose_target(order, false, &tried) {
                 Ok(it) => it,
                 Err(refusal) if tried.is_empty() => return Outcome::NotRun(refusal),
                 Err(_) => break,
@@ -219,7 +219,7 @@
     /// One attempt, and asking about it until it is decided or the time is up.
     fn run_attempt(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
         let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
-        let Some(leg) = self.home.dispatch(ticket, guard) else {
+        let Some(leg) = self.tickets.dispatch(ticket, guard) else {
             return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = order.left();
@@ -233,11 +233,11 @@
         while verdict == Verdict::Ask && !order.left().is_zero() {
             verdict = match self.revoke(&target.guard, leg.clone(), order.left().min(ASK_WAIT)) {
                 Ok(reply) => {
-                    target.guard.answered();
+                    target.guard.record_success();
                     judge_revoke(reply)
                 }
                 Err(_) => {
-                    target.guard.failed();
+                    target.guard.record_failure();
                     thread::sleep(ASK_PAUSE.min(order.left()));
                     Verdict::Ask
                 }
@@ -257,9 +257,9 @@
 
     /// Asks what became of the tickets whose outcome was unknown when their time was up.
     pub(crate) fn resolve_unknown(&self) {
-        let (unresolved, low_water) = self.home.unresolved();
+        let (unresolved, low_water) = self.tickets.unresolved();
         for (sequence, attempt, guard) in unresolved {
-            let Some(address) = address_of(self, &guard.daemon) else { continue };
+            let Some(address) = peer_address(self, &guard.daemon) else { continue };
             let ticket = self.own_ticket(sequence);
             let leg = TicketLeg { ticket, attempt, low_water };
             let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: 0 };
@@ -269,8 +269,8 @@
                 self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, LEDGER_TIMEOUT)
             };
             match reply.map(judge_revoke) {
-                Ok(Verdict::Settle(outcome)) => _ = self.home.settle(sequence, outcome),
-                Ok(Verdict::TryAnother(refusal)) => _ = self.home.settle(sequence, Outcome::NotRun(refusal)),
+                Ok(Verdict::Settle(outcome)) => _ = self.tickets.settle(sequence, outcome),
+                Ok(Verdict::TryAnother(refusal)) => _ = self.tickets.settle(sequence, Outcome::NotRun(refusal)),
                 Ok(Verdict::Ask) | Err(_) => (),
             }
         }
@@ -309,32 +309,32 @@
     /// Like `may_have_run`, but without asking other daemons.
     pub(crate) fn may_have_run_by_records(&self, ticket: &Ticket) -> bool {
         let own = ticket.home == self.settings.name;
-        may_have_run(own.then(|| self.home.status(ticket)).as_ref())
+        may_have_run(own.then(|| self.tickets.status(ticket)).as_ref())
     }
 
     /// What is known of a ticket anywhere.
     pub(crate) fn ticket_status(&self, ticket: &Ticket) -> Option<TicketStatus> {
         if ticket.home == self.settings.name {
-            return Some(self.home.status(ticket));
+            return Some(self.tickets.status(ticket));
         }
-        let address = address_of(self, &ticket.home)?;
+        let address = peer_address(self, &ticket.home)?;
         let query = TicketQuery { ticket: ticket.clone() };
         self.peers.call(address, PeerCall::Ticket, &query, Connection::New, LEDGER_TIMEOUT).ok()
     }
 
-    fn choose(
+    fn choose_target(
         &self,
         order: RequestContext<'_>,
         idempotent: bool,
         tried: &[Arc<Target>],
     ) -> Result<Arc<Target>, Refusal> {
-        RNG.with_borrow_mut(|rng| self.view.choose(order.service, order.importance, idempotent, tried, rng))
+        RNG.with_borrow_mut(|rng| self.view.choose_target(order.service, order.importance, idempotent, tried, rng))
     }
 
     /// Whether the last attempt may be followed by another one; takes it out of the class's budget
     /// if it costs the endpoints anything.
     fn may_retry(&self, order: RequestContext<'_>, last: &Outcome) -> bool {
-        free_retry(last) || self.budgets.spend(order.class)
+        free_retry(last) || self.budgets.withdraw(order.class)
     }
 
     fn is_self(&self, guard: &Guard) -> bool {
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -16,12 +16,12 @@
 pub(crate) struct IssuedTickets {
     home: Mutex<Home>,
     /// Told whenever a run ends.
-    ended: Condvar,
+    run_ended: Condvar,
 }
 
 impl IssuedTickets {
     pub(crate) fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
-        Self { home: Mutex::new(Home::new(daemon, incarnation)), ended: Condvar::new() }
+        Self { home: Mutex::new(Home::new(daemon, incarnation)), run_ended: Condvar::new() }
     }
 
     /// Issues `count` tickets.
@@ -43,7 +43,7 @@
             if left.is_zero() {
                 return Begin::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
             }
-            let waited = self.ended.wait_timeout(home, left);
+            let waited = self.run_ended.wait_timeout(home, left);
             home = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -58,7 +58,7 @@
     /// Ends a run, or clears up an unknown one.
     pub(crate) fn settle(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
         let settled = lock(&self.home).settle(sequence, outcome);
-        self.ended.notify_all();
+        self.run_ended.notify_all();
         settled
     }
 
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -78,7 +78,7 @@
         (Method::GET, "/in-force") => in_force(daemon, req, &target),
         (Method::POST, "/drain") => drain(daemon, req),
         (Method::POST, "/tickets") => {
-            let ticket = daemon.home.issue(1).remove(0);
+            let ticket = daemon.tickets.issue(1).remove(0);
             respond(req, 200, &[], ticket.to_string().into_bytes());
         }
         _ => respond(req, 404, &[], Vec::new()),
@@ -116,10 +116,10 @@
         phase: daemon.phase.get(),
         config_version: daemon.config.version(),
         uptime_s: daemon.started.elapsed().as_secs(),
-        in_flight: daemon.in_flight(),
+        in_flight: daemon.open_request_count(),
         daemons,
         daemons_down,
-        ticket_records: daemon.home.tally().records,
+        ticket_records: daemon.tickets.tally().records,
         guard: daemon.guard.count(),
         endpoints: daemon.guard.rows(),
         services: daemon.view.counts(),
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -86,10 +86,10 @@
     }
     let row = table.get(id).map(|it| Row::clone(it));
     let news: Vec<_> = row.into_iter().collect();
-    daemon.view_news(&news);
+    daemon.apply_rows(&news);
     drop(table);
     log::info!(daemon = id; "daemon is down");
-    daemon.tell_news(news);
+    daemon.queue_gossip(news);
 }
 
 /// Whether any of a few peers reaches the address; it may be our own path that is cut.
@@ -119,7 +119,7 @@
     let follow_up = compared.follow_up(&lock(&daemon.table));
     if let Some(deliver) = follow_up {
         let delivered = call(PeerCall::Deliver, &deliver)?;
-        daemon.take_rows(delivered.rows);
+        daemon.merge_rows(delivered.rows);
     }
     Ok(())
 }
@@ -146,24 +146,24 @@
 
 impl Daemon {
     /// Answers a peer's comparison.
-    pub(crate) fn compared(self: &Arc<Self>, compare: &Compare) -> Compared {
+    pub(crate) fn answer_compare(self: &Arc<Self>, compare: &Compare) -> Compared {
         compare.answer(&lock(&self.table), self.config.version())
     }
 
     /// Answers a peer's delivery.
-    pub(crate) fn delivered(&self, deliver: Deliver) -> Delivered {
+    pub(crate) fn answer_deliver(&self, deliver: Deliver) -> Delivered {
         let mut table = lock(&self.table);
         let (delivered, news) = deliver.answer(&mut table, Instant::now());
-        self.view_news(&news);
+        self.apply_rows(&news);
         drop(table);
         if !news.is_empty() {
-            self.tell_news(news);
+            self.queue_gossip(news);
         }
         delivered
     }
 
     /// Whether a daemon answers at an address.
-    pub(crate) fn answers(&self, address: SocketAddr, timeout: Duration) -> bool {
+    pub(crate) fn is_peer_reachable(&self, address: SocketAddr, timeout: Duration) -> bool {
         self.peers.send(address, PeerCall::InForce, Vec::new(), 0, Connection::New, timeout).is_ok()
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -92,11 +92,11 @@
 struct RetryBudgets(Mutex<BTreeMap<Box<str>, ClassRetryBudget>>);
 
 impl RetryBudgets {
-    fn earn(&self, class: &str) {
+    fn deposit(&self, class: &str) {
         self.with(class, ClassRetryBudget::deposit);
     }
 
-    fn spend(&self, class: &str) -> bool {
+    fn withdraw(&self, class: &str) -> bool {
         self.with(class, ClassRetryBudget::withdraw)
     }
 
@@ -118,22 +118,22 @@
     config: ActiveConfig,
     table: Mutex<Table>,
     view: EndpointView,
-    home: IssuedTickets,
+    tickets: IssuedTickets,
     guard: LocalGuard,
     client: Arc<Client>,
     peers: PeerClient,
     platform: Box<dyn ObjectStore>,
     pools: ThreadPools,
     budgets: RetryBudgets,
-    working: Arc<AtomicUsize>,
-    news: crossbeam::channel::Sender<Vec<Row>>,
+    open_requests: Arc<AtomicUsize>,
+    gossip_queue: crossbeam::channel::Sender<Vec<Row>>,
     metrics: PrometheusHandle,
 }
 
 /// A caller's request that is being answered, until closed.
-struct Working(Arc<AtomicUsize>);
+struct TrackedRequest(Arc<AtomicUsize>);
 
-impl Working {
+impl TrackedRequest {
     fn close(self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -153,12 +153,12 @@
     spawn("spread", &daemon, move |it| gossip::run(it, &rx));
     spawn("membership", &daemon, membership::run);
     spawn("watcher", &daemon, config_watch::run);
-    spawn("presence", &daemon, config_watch::announce);
-    spawn("tick", &daemon, tick);
-    spawn("records", &daemon, records);
+    spawn("presence", &daemon, config_watch::write_presence);
+    spawn("tick", &daemon, tick_endpoints);
+    spawn("records", &daemon, maintain_tickets);
     log::info!(daemon = &*daemon.settings.name, incarnation = daemon.incarnation; "started");
     signals.forever().next();
-    leave(&daemon);
+    shut_down(&daemon);
     Ok(())
 }
 
@@ -180,7 +180,7 @@
 }
 
 /// Lets time pass for the endpoints.
-fn tick(daemon: &Arc<Daemon>) {
+fn tick_endpoints(daemon: &Arc<Daemon>) {
     loop {
         thread::sleep(TICK);
         if daemon.guard.tick(Instant::now()) {
@@ -190,33 +190,33 @@
 }
 
 /// Lets ticket records expire, and clears up unknown ones.
-fn records(daemon: &Arc<Daemon>) {
+fn maintain_tickets(daemon: &Arc<Daemon>) {
     loop {
         thread::sleep(RECORDS_TICK);
-        daemon.home.expire();
+        daemon.tickets.expire();
         daemon.resolve_unknown();
-        daemon.gauge();
+        daemon.update_gauges();
     }
 }
 
 /// Leaves: refuses new work, finishes what is in flight, stays a while for recorded answers.
-fn leave(daemon: &Arc<Daemon>) {
-    daemon.phase.on(PhaseEvent::Stop);
+fn shut_down(daemon: &Arc<Daemon>) {
+    daemon.phase.handle(PhaseEvent::Stop);
     daemon.edit_row(|it| it.leaving = true);
     thread::sleep(LEAVE_NOTICE);
     let deadline = Instant::now() + DRAIN_LIMIT;
-    while daemon.in_flight() > 0 && Instant::now() < deadline {
+    while daemon.open_request_count() > 0 && Instant::now() < deadline {
         thread::sleep(TICK);
     }
-    daemon.phase.on(PhaseEvent::Drained);
+    daemon.phase.handle(PhaseEvent::Drained);
     thread::sleep(LINGER);
-    config_watch::withdraw(daemon);
-    daemon.phase.on(PhaseEvent::AnswersFetched);
-    log::info!(in_flight = daemon.in_flight(); "stopped");
+    config_watch::remove_presence(daemon);
+    daemon.phase.handle(PhaseEvent::AnswersFetched);
+    log::info!(in_flight = daemon.open_request_count(); "stopped");
 }
 
 impl Daemon {
-    fn new(settings: Settings, news: crossbeam::channel::Sender<Vec<Row>>) -> Result<Self, Error> {
+    fn new(settings: Settings, gossip_queue: crossbeam::channel::Sender<Vec<Row>>) -> Result<Self, Error> {
         let now = Instant::now();
         let incarnation = incarnation();
         let client = Arc::new(Client::new());
@@ -235,7 +235,7 @@
             config: ActiveConfig::default(),
             table: Mutex::new(Table::new(row, OwnClaims::Stand, now)),
             view: EndpointView::new(settings.data_centre.clone()),
-            home: IssuedTickets::new(settings.name.clone(), incarnation),
+            tickets: IssuedTickets::new(settings.name.clone(), incarnation),
             guard: LocalGuard::new(incarnation),
             peers: PeerClient::new(Arc::clone(&client), settings.peer_key.clone()),
             client,
@@ -246,49 +246,50 @@
                 control: ThreadPool::new("control", CONTROL_THREADS),
             },
             budgets: RetryBudgets::default(),
-            working: Arc::default(),
-            news,
+            open_requests: Arc::default(),
+            gossip_queue,
             metrics: metrics_recorder()?,
             settings,
         })
     }
 
-    fn leaving(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         !matches!(self.phase.get(), Phase::Joining | Phase::Serving)
     }
 
     /// Counts a caller's request until the value is closed.
-    fn working(&self) -> Working {
-        self.working.fetch_add(1, Ordering::AcqRel);
-        Working(Arc::clone(&self.working))
+    fn track_request(&self) -> TrackedRequest {
+        self.open_requests.fetch_add(1, Ordering::AcqRel);
+        TrackedRequest(Arc::clone(&self.open_requests))
     }
 
     /// Requests and dispatches that are not answered yet.
-    fn in_flight(&self) -> usize {
-        self.working.load(Ordering::Acquire)
+    fn open_request_count(&self) -> usize {
+        self.open_requests.load(Ordering::Acquire)
     }
 
     /// The share of a pool that work of this importance may fill; the most important may fill all.
-    fn share(&self, importance: Importance) -> f64 {
+    fn pool_share(&self, importance: Importance) -> f64 {
         let share = self.config.get().map_or(1.0, |it| it.directory.share_up_to(importance));
         0.5 + 0.5 * share
     }
 
     /// Runs a dispatch on an endpoint of this guard.
     fn execute(&self, dispatch: &Dispatch) -> DispatchReply {
-        let working = self.working();
-        let hooks = ExecutionHooks { measure: &|it| self.measure(it), changed: &|| self.refresh_row() };
+        let tracked = self.track_request();
+        let hooks =
+            ExecutionHooks { ejection_context: &|it| self.ejection_context(it), row_changed: &|| self.refresh_row() };
         let reply = self.guard.execute(&self.client, dispatch, &hooks);
-        working.close();
+        tracked.close();
         reply
     }
 
-    fn measure(&self, endpoint: &str) -> EjectionContext {
+    fn ejection_context(&self, endpoint: &str) -> EjectionContext {
         let service = self.guard.service_of(endpoint).unwrap_or_default();
         let config = self.config.get();
         let weighs = config.as_ref().and_then(|it| it.directory.service(&service)).map(|it| it.weighs);
         EjectionContext {
-            baseline: self.view.baseline(&service, endpoint),
+            baseline: self.view.baseline_failure_rate(&service, endpoint),
             weighs: weighs.unwrap_or(Weighs::FalseEjections),
         }
     }
@@ -304,25 +305,25 @@
         let mut table = lock(&self.table);
         table.edit_own(Instant::now(), edit);
         let row = Row::clone(table.own());
-        self.take_in(&row);
+        self.apply_row(&row);
         drop(table);
-        self.tell_news(vec![row]);
+        self.queue_gossip(vec![row]);
     }
 
     /// Brings the view up to date with a row; called under the table's lock, so that rows arrive
     /// here in their order.
-    fn take_in(&self, row: &Row) {
+    fn apply_row(&self, row: &Row) {
         let config = self.config.get();
-        self.view.apply(row, config.as_ref().map(|it| &it.directory));
+        self.view.apply_row(row, config.as_ref().map(|it| &it.directory));
     }
 
-    fn tell_news(&self, rows: Vec<Row>) {
+    fn queue_gossip(&self, rows: Vec<Row>) {
         // The receiver lives as long as the process.
-        _ = self.news.send(rows);
+        _ = self.gossip_queue.send(rows);
     }
 
-    fn gauge(&self) {
-        let tally = self.home.tally();
+    fn update_gauges(&self) {
+        let tally = self.tickets.tally();
         metrics::gauge!("jayreach_ticket_records").set(tally.records as f64);
         metrics::gauge!("jayreach_config_version").set(self.config.version() as f64);
         metrics::gauge!("jayreach_uptime_seconds").set(self.started.elapsed().as_secs_f64());
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether it does callers' work, which must not take the threads that control needs.
-    fn works(self) -> bool {
+    fn is_callers_work(self) -> bool {
         matches!(self, Self::Dispatch | Self::Forward | Self::Revoke)
     }
 }
@@ -196,7 +196,7 @@
 
 /// Takes a peer's call, if the key fits, and gives it to the pool it belongs to.
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
-    if !key_fits(&req, &daemon.settings.peer_key) {
+    if !has_peer_key(&req, &daemon.settings.peer_key) {
         metrics::counter!("jayreach_peer_refusals_total").increment(1);
         return respond(req, 403, &[], b"wrong or missing peer key".to_vec());
     }
@@ -204,15 +204,18 @@
         return respond(req, 404, &[], Vec::new());
     };
     let importance = req.header(IMPORTANCE_HEADER).and_then(|it| it.parse().ok()).unwrap_or(0);
-    let (pool, share) =
-        if call.works() { (&daemon.pools.work, daemon.share(importance)) } else { (&daemon.pools.control, 1.0) };
+    let (pool, share) = if call.is_callers_work() {
+        (&daemon.pools.work, daemon.pool_share(importance))
+    } else {
+        (&daemon.pools.control, 1.0)
+    };
     let cx = Arc::clone(daemon);
     if let Some(req) = pool.answer(req, share, move |req| answer(&cx, call, req)) {
         respond(req, 503, &[], Vec::new());
     }
 }
 
-fn key_fits(req: &Request, key: &str) -> bool {
+fn has_peer_key(req: &Request, key: &str) -> bool {
     let given = req.header(PEER_KEY_HEADER).unwrap_or("");
     given.as_bytes().ct_eq(key.as_bytes()).into()
 }
@@ -242,7 +245,7 @@
         }
         PeerCall::Ticket => {
             let it: TicketQuery = decode(body).ok()?;
-            Some(encode::<TicketStatus>(&daemon.home.status(&it.ticket)))
+            Some(encode::<TicketStatus>(&daemon.tickets.status(&it.ticket)))
         }
         PeerCall::Ledger => {
             let it: TicketQuery = decode(body).ok()?;
@@ -250,32 +253,32 @@
         }
         PeerCall::Compare => {
             let it: Compare = decode(body).ok()?;
-            Some(encode::<Compared>(&daemon.compared(&it)))
+            Some(encode::<Compared>(&daemon.answer_compare(&it)))
         }
         PeerCall::Deliver => {
             let it: Deliver = decode(body).ok()?;
-            Some(encode::<Delivered>(&daemon.delivered(it)))
+            Some(encode::<Delivered>(&daemon.answer_deliver(it)))
         }
         PeerCall::Push => {
             let it: Push = decode(body).ok()?;
-            daemon.pushed(it);
+            daemon.handle_push(it);
             Some(Vec::new())
         }
         PeerCall::Probe => {
             let it: Probe = decode(body).ok()?;
-            Some(encode(&ProbeReply { answered: daemon.answers(it.address, PROBE_TIMEOUT) }))
+            Some(encode(&ProbeReply { answered: daemon.is_peer_reachable(it.address, PROBE_TIMEOUT) }))
         }
         PeerCall::Root => Some(daemon.config.get()?.root_bytes.clone()),
         PeerCall::Parts => {
             let it: PartsRequest = decode(body).ok()?;
-            Some(encode(&got_parts(&*daemon.config.get()?, &it)))
+            Some(encode(&collect_parts(&*daemon.config.get()?, &it)))
         }
         PeerCall::InForce => Some(encode(&InForce { version: daemon.config.version() })),
     }
 }
 
 /// As many of the wanted parts as fit into one answer, but one at least.
-fn got_parts(config: &Config, want: &PartsRequest) -> PartsReply {
+fn collect_parts(config: &Config, want: &PartsRequest) -> PartsReply {
     let mut got = PartsReply { parts: Vec::new() };
     let mut size = 0;
     for it in &want.parts {
@@ -290,7 +293,7 @@
 }
 
 /// A daemon's address in the table.
-pub(crate) fn address_of(daemon: &Daemon, id: &DaemonId) -> Option<SocketAddr> {
+pub(crate) fn peer_address(daemon: &Daemon, id: &DaemonId) -> Option<SocketAddr> {
     let table = crate::util::lock(&daemon.table);
     table.get(id).map(|it| it.peers)
 }
--- a/src/daemon/phase.rs
+++ b/src/daemon/phase.rs
@@ -54,7 +54,7 @@
     }
 
     /// Takes an event; one that means nothing in this phase is ignored.
-    pub(crate) fn on(&self, event: PhaseEvent) {
+    pub(crate) fn handle(&self, event: PhaseEvent) {
         let mut phase = lock(&self.0);
         let Some(next) = CHART.next(*phase, event) else { return };
         log::info!(before:? = *phase, after:? = next; "daemon changed its phase");
