--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,6 +1,7 @@
-//! The daemon: threads and sockets around the decisions.
+//! The daemon process: the threads, sockets and shared state around the decisions in [`crate::decide`].
 //!
-//! Locks are held one at a time, but for the table's, under which the view is brought up to date.
+//! To avoid deadlocks, a thread holds one lock at a time. The one exception: the view is updated while the membership
+//! table is locked, so that it sees rows in the table's order.
 
 mod active_config;
 mod caller_api;
@@ -61,33 +62,34 @@
     wire::{Dispatch, DispatchReply},
 };
 
-/// How many callers' requests are answered at once.
-const CALLER_THREADS: usize = 256;
-/// How much of peers' work is done at once.
-const WORK_THREADS: usize = 512;
-/// How many of peers' control calls are answered at once.
-const CONTROL_THREADS: usize = 32;
-/// How often time passes for endpoints.
-const TICK: Duration = Duration::from_millis(100);
-/// How often ticket records expire and unknown ones are asked about.
-const RECORDS_TICK: Duration = Duration::from_secs(1);
-/// How long a daemon that leaves goes on refusing before it looks whether it is idle.
+/// The most requests of callers that are handled at once.
+const MAX_CALLER_THREADS: usize = 256;
+/// The most requests from peers that run at once.
+const MAX_WORK_THREADS: usize = 512;
+/// The most control calls, from peers and on the local listener, that are handled at once.
+const MAX_CONTROL_THREADS: usize = 32;
+/// The interval at which endpoint states are updated; a shutdown checks for open requests as often.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval at which ticket records are expired and unknown outcomes are resolved.
+const TICKET_MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a daemon that shuts down refuses requests before it first checks whether it is idle; in this time its peers
+/// learn that it is leaving.
 const LEAVE_NOTICE: Duration = Duration::from_secs(1);
-/// How long work in flight may take to end after a stop; beyond any class's lateness.
+/// How long open requests may take to finish during shutdown; longer than the time limit of any class.
 const DRAIN_LIMIT: Duration = Duration::from_secs(125);
-/// How long a drained daemon stays for callers that fetch recorded answers.
+/// How long a drained daemon still serves recorded outcomes.
 const LINGER: Duration = Duration::from_secs(2);
-/// The buckets of the histogram of request times, in seconds.
-const BUCKETS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// Upper bounds of the buckets of the request time histogram, in seconds.
+const REQUEST_TIME_BUCKETS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
-/// The pools of threads, so that no kind of work takes another's.
+/// Separate thread pools, so that one kind of request can't use up the threads of another.
 struct ThreadPools {
     callers: ThreadPool,
     work: ThreadPool,
     control: ThreadPool,
 }
 
-/// The retry budgets by class.
+/// The retry budget of each class.
 #[derive(Default)]
 struct RetryBudgets(Mutex<BTreeMap<Box<str>, ClassRetryBudget>>);
 
@@ -109,7 +111,7 @@
     }
 }
 
-/// One daemon's state, shared by its threads.
+/// The state of a daemon, shared by its threads.
 pub(crate) struct Daemon {
     settings: Settings,
     incarnation: Incarnation,
@@ -130,7 +132,7 @@
     metrics: PrometheusHandle,
 }
 
-/// A caller's request that is being answered, until closed.
+/// An open request, counted in `Daemon::open_requests` until it is closed.
 struct TrackedRequest(Arc<AtomicUsize>);
 
 impl TrackedRequest {
@@ -139,9 +141,13 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it receives SIGTERM or SIGINT and has shut down gracefully.
+///
+/// # Errors
+///
+/// If a signal handler can't be installed, a listener can't be opened, or the metrics recorder can't be installed.
 pub fn run(settings: Settings) -> Result<(), Error> {
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|it| Error::io("taking signals", it))?;
+    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|it| Error::io("installing signal handlers", it))?;
     let callers = Listener::open(settings.callers)?;
     let peers = Listener::open(settings.peers)?;
     let local = Listener::open(settings.local)?;
@@ -165,48 +171,48 @@
 fn spawn(name: &'static str, daemon: &Arc<Daemon>, act: impl FnOnce(&Arc<Daemon>) + Send + 'static) {
     let daemon = Arc::clone(daemon);
     let result = thread::Builder::new().name(name.into()).spawn(move || act(&daemon));
-    result.expect("a daemon can start its first threads");
+    result.expect("a thread can be started");
 }
 
-/// Serves a listener from a thread of its own.
+/// Serves a listener on its own thread; the process aborts if it can't be served.
 fn serve(name: &'static str, daemon: &Arc<Daemon>, listener: Listener, accept: fn(&Arc<Daemon>, Request)) {
     spawn(name, daemon, move |it| {
         let daemon = Arc::clone(it);
         if let Err(error) = listener.serve(move |req| accept(&daemon, req)) {
-            log::error!("the listener for {name} can't be served: {error}");
+            log::error!("the {name} listener can't be served: {error}");
             std::process::abort();
         }
     });
 }
 
-/// Lets time pass for the endpoints.
+/// Updates the time-dependent states of the endpoints, and this daemon's row if one changed.
 fn tick_endpoints(daemon: &Arc<Daemon>) {
     loop {
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
         if daemon.guard.tick(Instant::now()) {
             daemon.refresh_row();
         }
     }
 }
 
-/// Lets ticket records expire, and clears up unknown ones.
+/// Expires ticket records, resolves unknown outcomes and updates the gauges.
 fn maintain_tickets(daemon: &Arc<Daemon>) {
     loop {
-        thread::sleep(RECORDS_TICK);
+        thread::sleep(TICKET_MAINTENANCE_INTERVAL);
         daemon.tickets.expire();
         daemon.resolve_unknown();
         daemon.update_gauges();
     }
 }
 
-/// Leaves: refuses new work, finishes what is in flight, stays a while for recorded answers.
+/// Shuts down gracefully: refuses new requests, finishes the open ones, then serves recorded outcomes for a while.
 fn shut_down(daemon: &Arc<Daemon>) {
     daemon.phase.handle(PhaseEvent::Stop);
     daemon.edit_row(|it| it.leaving = true);
     thread::sleep(LEAVE_NOTICE);
     let deadline = Instant::now() + DRAIN_LIMIT;
     while daemon.open_request_count() > 0 && Instant::now() < deadline {
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
     daemon.phase.handle(PhaseEvent::Drained);
     thread::sleep(LINGER);
@@ -241,9 +247,9 @@
             client,
             platform: Box::new(StoreClient::new(settings.platform)),
             pools: ThreadPools {
-                callers: ThreadPool::new("caller", CALLER_THREADS),
-                work: ThreadPool::new("work", WORK_THREADS),
-                control: ThreadPool::new("control", CONTROL_THREADS),
+                callers: ThreadPool::new("caller", MAX_CALLER_THREADS),
+                work: ThreadPool::new("work", MAX_WORK_THREADS),
+                control: ThreadPool::new("control", MAX_CONTROL_THREADS),
             },
             budgets: RetryBudgets::default(),
             open_requests: Arc::default(),
@@ -257,24 +263,25 @@
         !matches!(self.phase.get(), Phase::Joining | Phase::Serving)
     }
 
-    /// Counts a caller's request until the value is closed.
+    /// Counts a request as open until the returned value is closed.
     fn track_request(&self) -> TrackedRequest {
         self.open_requests.fetch_add(1, Ordering::AcqRel);
         TrackedRequest(Arc::clone(&self.open_requests))
     }
 
-    /// Requests and dispatches that are not answered yet.
+    /// The number of requests and dispatches without a response yet.
     fn open_request_count(&self) -> usize {
         self.open_requests.load(Ordering::Acquire)
     }
 
-    /// The share of a pool that work of this importance may fill; the most important may fill all.
+    /// The share of a thread pool that requests of this importance may fill, from 0.5 to 1; the most important may fill
+    /// all of it.
     fn pool_share(&self, importance: Importance) -> f64 {
         let share = self.config.get().map_or(1.0, |it| it.directory.share_up_to(importance));
         0.5 + 0.5 * share
     }
 
-    /// Runs a dispatch on an endpoint of this guard.
+    /// Runs a dispatch on an endpoint that this daemon guards.
     fn execute(&self, dispatch: &Dispatch) -> DispatchReply {
         let tracked = self.track_request();
         let hooks =
@@ -294,13 +301,13 @@
         }
     }
 
-    /// Brings the own row up to date with the guard's endpoints.
+    /// Updates this daemon's row from the guard's endpoints.
     fn refresh_row(&self) {
         let endpoints = self.guard.rows();
         self.edit_row(|it| it.endpoints = endpoints);
     }
 
-    /// Changes the own row and tells the fleet.
+    /// Changes this daemon's row and queues it for gossip.
     fn edit_row(&self, edit: impl FnOnce(&mut Row)) {
         let mut table = lock(&self.table);
         table.edit_own(Instant::now(), edit);
@@ -310,15 +317,14 @@
         self.queue_gossip(vec![row]);
     }
 
-    /// Brings the view up to date with a row; called under the table's lock, so that rows arrive
-    /// here in their order.
+    /// Applies a row to the view. The caller holds the table's lock, so that rows are applied in the table's order.
     fn apply_row(&self, row: &Row) {
         let config = self.config.get();
         self.view.apply_row(row, config.as_ref().map(|it| &it.directory));
     }
 
     fn queue_gossip(&self, rows: Vec<Row>) {
-        // The receiver lives as long as the process.
+        // The gossip thread keeps the receiver until the process ends.
         _ = self.gossip_queue.send(rows);
     }
 
@@ -334,8 +340,8 @@
     }
 }
 
-/// A new incarnation: higher than earlier ones by the clock, and drawn so that two that start in
-/// the same second differ.
+/// Returns a new incarnation: Unix seconds in the high bits, so that it is higher than earlier ones, and random low
+/// bits, so that two starts within a second differ.
 fn incarnation() -> Incarnation {
     const RANDOM_BITS: u32 = 20;
     let random: u64 = rand::rng().random_range(0..1 << RANDOM_BITS);
@@ -344,7 +350,7 @@
 
 fn metrics_recorder() -> Result<PrometheusHandle, Error> {
     let matcher = Matcher::Full("jayreach_request_seconds".into());
-    let builder = PrometheusBuilder::new().set_buckets_for_metric(matcher, &BUCKETS);
+    let builder = PrometheusBuilder::new().set_buckets_for_metric(matcher, &REQUEST_TIME_BUCKETS);
     let installed = builder.and_then(PrometheusBuilder::install_recorder);
-    installed.map_err(|it| Error::io("installing the metrics", std::io::Error::other(it)))
+    installed.map_err(|it| Error::io("installing the metrics recorder", std::io::Error::other(it)))
 }
--- a/src/daemon/phase.rs
+++ b/src/daemon/phase.rs
@@ -1,4 +1,4 @@
-//! A daemon's phase, by charts/daemon.toml.
+//! The phases of a daemon from its start to its end; the state chart is charts/daemon.toml.
 
 use std::sync::{LazyLock, Mutex};
 
@@ -9,37 +9,37 @@
 static CHART: LazyLock<Chart<Phase, PhaseEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/daemon.toml")));
 
-/// Where a daemon stands between its start and its end.
+/// The phases of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Phase {
     /// It has no configuration yet.
     Joining,
-    /// It takes work.
+    /// It accepts requests.
     Serving,
-    /// It refuses new work and finishes what is in flight.
+    /// It refuses new requests and finishes the open ones.
     Leaving,
-    /// It only answers for recorded tickets.
+    /// It only serves the recorded outcomes of tickets.
     Lingering,
     /// It is about to exit.
     Stopped,
 }
 
-/// What happens to a daemon.
+/// The events that change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum PhaseEvent {
-    /// It has its first configuration.
+    /// The first configuration became active.
     Configured,
-    /// It was told to stop.
+    /// A stop was requested.
     Stop,
-    /// Nothing is in flight.
+    /// No request is open any more, or the drain limit has passed.
     Drained,
-    /// Callers had their time to fetch recorded answers.
+    /// The time for fetching recorded outcomes has passed.
     AnswersFetched,
 }
 
-/// The current phase.
+/// The current phase, which any thread may read and change.
 pub(crate) struct PhaseCell(Mutex<Phase>);
 
 impl Default for PhaseCell {
@@ -53,11 +53,11 @@
         *lock(&self.0)
     }
 
-    /// Takes an event; one that means nothing in this phase is ignored.
+    /// Applies an event. An event without a transition from the current phase is ignored.
     pub(crate) fn handle(&self, event: PhaseEvent) {
         let mut phase = lock(&self.0);
         let Some(next) = CHART.next(*phase, event) else { return };
-        log::info!(before:? = *phase, after:? = next; "daemon changed its phase");
+        log::info!(before:? = *phase, after:? = next; "daemon phase changed");
         *phase = next;
     }
 }
