--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -1,4 +1,5 @@
-//! The guard: the only way to the endpoints that announce to this daemon.
+//! The guard of the endpoints that announce themselves to this daemon. Every request to them passes through it, so that
+//! it can limit concurrency, run a ticketed request at most once, and eject endpoints that fail.
 
 use std::{
     sync::{
@@ -24,54 +25,55 @@
     wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
 };
 
-/// After so long a silence an endpoint gets no new work (issue 3, towards endpoints).
+/// Time without an announcement after which an endpoint gets no new requests.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long the row of an endpoint that is gone is kept.
+/// How long an endpoint that is gone stays listed after its last announcement.
 const GONE_RETENTION: Duration = Duration::from_secs(30);
-/// With less than this left, work is not sent any more.
+/// A request with less time left than this is not sent to the endpoint.
 const MIN_BUDGET: Duration = Duration::from_millis(1);
 
-/// What an endpoint says of itself.
+/// The body of `POST /announce`, which an endpoint sends at regular intervals.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The service it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: Box<str>,
-    /// Where its guard reaches it.
+    /// The address at which the guard sends requests to it.
     pub address: std::net::SocketAddr,
-    /// How much work it takes at once.
+    /// How many requests it runs at once; 1 or more.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: AnnouncedState,
-    /// Its own report of its load; a hint only.
+    /// The load that it reports. The guard doesn't use it.
     #[serde(default)]
     pub load: u32,
 }
 
-/// Whether an endpoint takes work, in its own words.
+/// Whether an endpoint accepts requests, as it announces itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnnouncedState {
-    /// Not yet.
+    /// It doesn't accept requests yet.
     Starting,
-    /// Yes.
+    /// It accepts requests.
     Serving,
-    /// Not any more.
+    /// It accepts no new requests.
     Leaving,
 }
 
-/// What a service weighs and how its other endpoints fare.
+/// What the decision to eject an endpoint takes from its service.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EjectionContext {
+    /// The median failure rate of the service's other endpoints.
     pub(crate) baseline: f64,
     pub(crate) weighs: Weighs,
 }
 
-/// What a guard asks of its daemon while it runs a dispatch.
+/// Calls from the guard to its daemon while it runs a dispatch.
 pub(crate) struct ExecutionHooks<'a> {
-    /// What an endpoint's service weighs, and how its others fare.
+    /// Looks up the ejection context of an endpoint.
     pub(crate) ejection_context: &'a dyn Fn(&str) -> EjectionContext,
-    /// The endpoint's row has to be told anew.
+    /// Called when the endpoint's row has changed enough to be gossiped.
     pub(crate) row_changed: &'a dyn Fn(),
 }
 
@@ -92,16 +94,16 @@
     ledger: Ledger,
 }
 
-/// The guard's state.
+/// The guard of the local endpoints.
 pub(crate) struct LocalGuard {
     incarnation: Incarnation,
     inner: Mutex<Inner>,
-    /// Told whenever a line of the ledger ends.
+    /// Notified whenever a run in the ledger ends.
     run_ended: Condvar,
     next_waiter: AtomicU64,
 }
 
-/// What the ledger and gates hold, for operators.
+/// The numbers of ledger entries and of running requests, for the status page.
 #[derive(Debug, Serialize)]
 pub(crate) struct LedgerCounts {
     ledger: usize,
@@ -113,24 +115,24 @@
         Self { incarnation, inner: Mutex::default(), run_ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
     }
 
-    /// Takes an announcement; returns whether the row changed.
-    pub(crate) fn announce(&self, it: &Announcement, now: Instant) -> bool {
+    /// Records an announcement; returns whether the row changed.
+    pub(crate) fn announce(&self, announcement: &Announcement, now: Instant) -> bool {
         let mut inner = lock(&self.inner);
-        let id: EndpointId = it.address.to_string().into();
+        let id: EndpointId = announcement.address.to_string().into();
         let at = match inner.endpoints.binary_search_by(|e| e.id.cmp(&id)) {
             Ok(at) => at,
             Err(at) => {
-                inner.endpoints.insert(at, Endpoint::new(id, it, now));
+                inner.endpoints.insert(at, Endpoint::new(id, announcement, now));
                 at
             }
         };
         let endpoint = &mut inner.endpoints[at];
         endpoint.last_announced = now;
-        let row_edited = endpoint.slots != it.slots || endpoint.service != it.service;
-        endpoint.slots = it.slots;
-        endpoint.service = it.service.clone();
-        endpoint.admission.set_slots(it.slots);
-        let event = match it.state {
+        let row_edited = endpoint.slots != announcement.slots || endpoint.service != announcement.service;
+        endpoint.slots = announcement.slots;
+        endpoint.service = announcement.service.clone();
+        endpoint.admission.set_slots(announcement.slots);
+        let event = match announcement.state {
             AnnouncedState::Starting => EndpointEvent::AnnouncedStarting,
             AnnouncedState::Serving => EndpointEvent::AnnouncedServing,
             AnnouncedState::Leaving => EndpointEvent::AnnouncedLeaving,
@@ -138,7 +140,7 @@
         endpoint.handle(event, now) || row_edited
     }
 
-    /// Lets time pass; returns whether the row changed.
+    /// Updates the states that depend on time and removes endpoints that are gone; returns whether the row changed.
     pub(crate) fn tick(&self, now: Instant) -> bool {
         let mut inner = lock(&self.inner);
         let mut changed = false;
@@ -155,24 +157,24 @@
         changed || count != inner.endpoints.len()
     }
 
-    /// The endpoints, for the row.
+    /// The endpoints as this daemon's row lists them.
     pub(crate) fn rows(&self) -> Vec<EndpointRow> {
         lock(&self.inner).endpoints.iter().map(Endpoint::row).collect()
     }
 
-    /// The endpoint's service, if it is here.
+    /// The service of an endpoint, if the endpoint is listed.
     pub(crate) fn service_of(&self, endpoint: &str) -> Option<Box<str>> {
         let inner = lock(&self.inner);
         inner.find(endpoint).map(|at| inner.endpoints[at].service.clone())
     }
 
-    /// Counts for operators.
+    /// The counts for the status page.
     pub(crate) fn count(&self) -> LedgerCounts {
         let inner = lock(&self.inner);
         LedgerCounts { ledger: inner.ledger.len(), running: inner.ledger.running() }
     }
 
-    /// Runs a dispatch.
+    /// Runs a dispatch and adds the endpoint's load to the reply.
     pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> DispatchReply {
         let outcome = self.run_dispatch(client, dispatch, hooks);
         let inner = lock(&self.inner);
@@ -181,6 +183,7 @@
         DispatchReply { outcome, load, admits }
     }
 
+    /// Runs a dispatch. A ticketed one is looked up in the ledger first, so that it runs at most once.
     fn run_dispatch(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
@@ -200,7 +203,7 @@
         outcome
     }
 
-    /// Admits the work, passes it to the endpoint and takes the evidence.
+    /// Waits for admission, sends the request to the endpoint and records the result as evidence about the endpoint.
     fn run_on_endpoint(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         let started = Instant::now();
         let deadline = started + Duration::from_millis(dispatch.budget_ms);
@@ -218,7 +221,8 @@
         let now = Instant::now();
         let context = (hooks.ejection_context)(&dispatch.endpoint);
         if outcome == Outcome::Unknown(Doubt::EndpointSilent) {
-            // The endpoint's slot stays in use until the cancellation has reached it.
+            // The slot is released only after the cancellation, so that the endpoint doesn't run more requests
+            // than it has slots.
             endpoint::cancel(client, dispatch);
         }
         if self.finish_request(&dispatch.endpoint, now - admitted, sample, context, now) {
@@ -227,6 +231,7 @@
         outcome
     }
 
+    /// Waits until the request may run on its endpoint, or returns why it may not.
     fn admit(&self, dispatch: &Dispatch, deadline: Instant) -> Result<(), Refusal> {
         let id = self.next_waiter.fetch_add(1, Ordering::Relaxed);
         let request = AdmissionRequest { id, importance: dispatch.importance, deadline };
@@ -250,11 +255,11 @@
         match received.unwrap_or_else(|| self.cancel_waiter(&dispatch.endpoint, id, &rx)) {
             AdmissionDecision::Admit => Ok(()),
             AdmissionDecision::Refuse(refusal) => Err(refusal),
-            AdmissionDecision::Queue => unreachable!("a release never says wait"),
+            AdmissionDecision::Queue => unreachable!("a waiter is never queued again"),
         }
     }
 
-    /// The deadline came first, unless the decision was under way.
+    /// Removes a waiter whose deadline has passed; returns its decision if one was sent meanwhile.
     fn cancel_waiter(
         &self,
         endpoint: &str,
@@ -271,7 +276,7 @@
         rx.try_recv().unwrap_or(AdmissionDecision::Refuse(Refusal::TooLate))
     }
 
-    /// Frees the slot and takes the evidence; returns whether the row changed.
+    /// Releases the slot and records the sample; returns whether the row has changed enough to be gossiped.
     fn finish_request(
         &self,
         endpoint: &str,
@@ -281,7 +286,7 @@
         now: Instant,
     ) -> bool {
         let mut inner = lock(&self.inner);
-        let at = inner.find(endpoint).expect("an endpoint stays while work is running there");
+        let at = inner.find(endpoint).expect("an endpoint with a running request is kept");
         let endpoint = &mut inner.endpoints[at];
         let before = endpoint.row();
         for decision in endpoint.admission.release_slot(took, now) {
@@ -296,7 +301,7 @@
         is_worth_gossip(&before, &endpoint.row())
     }
 
-    /// Makes sure an attempt will not run, waiting a while for one that is running.
+    /// Revokes an attempt, so that it can't run later. If it is running, waits up to `wait_ms` for its outcome.
     pub(crate) fn revoke(&self, revoke: &Revoke) -> RevokeReply {
         if revoke.guard_incarnation != self.incarnation {
             return RevokeReply::NoMemory;
@@ -314,7 +319,7 @@
         }
     }
 
-    /// What the ledger holds of a ticket.
+    /// The state of a ticket by the ledger.
     pub(crate) fn status(&self, ticket: &Ticket) -> TicketStatus {
         lock(&self.inner).ledger.status(ticket)
     }
@@ -327,14 +332,14 @@
 }
 
 impl Endpoint {
-    fn new(id: EndpointId, it: &Announcement, now: Instant) -> Self {
+    fn new(id: EndpointId, announcement: &Announcement, now: Instant) -> Self {
         Self {
             id,
-            service: it.service.clone(),
-            slots: it.slots,
+            service: announcement.service.clone(),
+            slots: announcement.slots,
             last_announced: now,
             health: EndpointHealth::new(EjectionConfig::default(), now),
-            admission: AdmissionController::new(it.slots),
+            admission: AdmissionController::new(announcement.slots),
             waiters: Vec::new(),
         }
     }
@@ -349,6 +354,8 @@
         }
     }
 
+    /// Applies an event and refuses the waiters if the endpoint accepts no more requests; returns whether its state
+    /// changed.
     fn handle(&mut self, event: EndpointEvent, now: Instant) -> bool {
         let before = self.health.state();
         let changed = self.health.handle(event, now);
@@ -363,22 +370,22 @@
         changed
     }
 
-    /// Tells a waiter what became of it.
+    /// Sends a waiter its decision.
     fn deliver_decision(&mut self, decision: Option<WaiterDecision>) {
         let Some(WaiterDecision { id, decision }) = decision else { return };
         let at = self.waiters.iter().position(|it| it.0 == id).expect("each waiter has a channel");
         let (_, tx) = self.waiters.swap_remove(at);
-        tx.send(decision).expect("a waiter takes itself out before it goes");
+        tx.send(decision).expect("a waiter keeps its receiver until it is removed");
     }
 }
 
 fn log_change(id: &str, before: EndpointState, after: EndpointState) {
     let (before, after) = (format!("{before:?}"), format!("{after:?}"));
-    log::info!(endpoint = id, before = before.as_str(), after = after.as_str(); "endpoint changed its state");
+    log::info!(endpoint = id, before = before.as_str(), after = after.as_str(); "endpoint state changed");
     metrics::counter!("jayreach_endpoint_changes_total", "to" => after).increment(1);
 }
 
-/// Whether the fleet must hear of a change at once; load alone rides on answers.
+/// Whether a row changed enough to be gossiped: another state, or a failure level that differs by 2 or more.
 fn is_worth_gossip(before: &EndpointRow, after: &EndpointRow) -> bool {
     before.state != after.state || before.failures.abs_diff(after.failures) >= 2
 }
