--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -1,4 +1,5 @@
-//! The home's desk: the ticket records behind a lock, and waiting for runs under way.
+//! The tickets that this daemon issued, shared between threads: a second request under a ticket waits for the first
+//! one.
 
 use std::{
     sync::{Arc, Condvar, Mutex, PoisonError},
@@ -12,10 +13,10 @@
     wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus},
 };
 
-/// The records of this daemon's tickets.
+/// The records of the tickets that this daemon issued.
 pub(crate) struct IssuedTickets {
     home: Mutex<Home>,
-    /// Told whenever a run ends.
+    /// Notified whenever a run ends.
     run_ended: Condvar,
 }
 
@@ -31,7 +32,7 @@
         (0..count).map(|_| home.issue(now)).collect()
     }
 
-    /// Begins a run or says why not; a run under way is waited for until `deadline`.
+    /// Begins a run under a ticket, or returns why none may begin. Waits until `deadline` for a run that is under way.
     pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> Begin {
         let mut home = lock(&self.home);
         loop {
@@ -48,37 +49,38 @@
         }
     }
 
-    /// Numbers the next attempt under a running ticket.
+    /// Records the next attempt under a running ticket and returns its number; `None` if its record has expired.
     pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardRef) -> Option<TicketLeg> {
         let mut home = lock(&self.home);
         let attempt = home.dispatch(ticket.sequence, guard)?;
         Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
-    /// Ends a run, or clears up an unknown one.
+    /// Records the outcome of a run, also of one whose outcome was unknown; returns the recorded outcome.
     pub(crate) fn settle(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
         let settled = lock(&self.home).settle(sequence, outcome);
         self.run_ended.notify_all();
         settled
     }
 
-    /// What is known of a ticket.
+    /// The state of a ticket.
     pub(crate) fn status(&self, ticket: &Ticket) -> TicketStatus {
         lock(&self.home).status(ticket)
     }
 
-    /// The unknown tickets that may still be cleared up, with the low-water sequence.
+    /// The tickets whose unknown outcome may still be resolved, each with its last attempt and guard, and the low-water
+    /// sequence.
     pub(crate) fn unresolved(&self) -> (Vec<(Sequence, u32, GuardRef)>, Sequence) {
         let home = lock(&self.home);
         (home.unresolved(), home.low_water())
     }
 
-    /// Lets records expire.
+    /// Removes expired records.
     pub(crate) fn expire(&self) {
         lock(&self.home).expire(Instant::now());
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub(crate) fn tally(&self) -> Tally {
         lock(&self.home).tally()
     }
