--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -1,4 +1,5 @@
-//! The ingress: runs a caller's request to its end, through guards and ticket homes.
+//! The ingress: sends a caller's request to the guard of a chosen endpoint and retries it, without ever running a
+//! request of a class that isn't idempotent twice.
 
 use std::{
     cell::RefCell,
@@ -27,28 +28,28 @@
     },
 };
 
-/// How often a request is sent at most, the first time included.
-const ATTEMPTS: usize = 4;
-/// The share of the time left that the first attempt of idempotent work gets.
-const FIRST_SHARE: f64 = 0.6;
-/// How long an answer to a dispatch is waited for before the guard is asked on a new connection.
-const FIRST_WAIT: Duration = Duration::from_millis(300);
-/// How long a guard that was asked may wait for the run to end.
-const ASK_WAIT: Duration = Duration::from_secs(1);
-/// What a call may take beyond the work's own time.
-const GRACE: Duration = Duration::from_millis(250);
-/// The pause before a silent guard is asked again.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// How long a guard may take to say what its ledger holds.
-const LEDGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The most attempts at a request, the first one included.
+const MAX_ATTEMPTS: usize = 4;
+/// The share of the time left that the first attempt at an idempotent request gets.
+const FIRST_ATTEMPT_SHARE: f64 = 0.6;
+/// How long a ticketed attempt waits for the reply before the guard is asked about it on a new connection.
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a guard may hold a revoke while the attempt is running.
+const REVOKE_WAIT: Duration = Duration::from_secs(1);
+/// Extra time for the reply of a peer, beyond the time limit that the peer itself was given.
+const REPLY_MARGIN: Duration = Duration::from_millis(250);
+/// The pause before a failed revoke is sent again.
+const REVOKE_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a peer may take to report the state of a ticket.
+const TICKET_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 thread_local! {
     static RNG: RefCell<SmallRng> = RefCell::new(SmallRng::from_rng(&mut rand::rng()));
 }
 
-static REQUESTS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// What a request asks for, beside its bytes.
+/// The routing and the deadline of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestContext<'a> {
     pub(crate) service: &'a str,
@@ -58,54 +59,55 @@
 }
 
 impl RequestContext<'_> {
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
 /// One attempt at a request.
 struct Attempt<'a> {
-    order: RequestContext<'a>,
+    request: RequestContext<'a>,
     work: &'a Work,
     /// Present exactly if the class is not idempotent.
     leg: Option<TicketLeg>,
     connection: Connection,
-    /// What is left of the deadline for this attempt.
+    /// The time limit of this attempt.
     budget: Duration,
 }
 
 impl Daemon {
-    /// Runs idempotent work.
-    pub(crate) fn run_idempotent(&self, order: RequestContext<'_>, work: &Work) -> Outcome {
-        self.budgets.deposit(order.class);
+    /// Runs an idempotent request, with retries as far as the retry budget and the deadline allow.
+    pub(crate) fn run_idempotent(&self, request: RequestContext<'_>, work: &Work) -> Outcome {
+        self.budgets.deposit(request.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
-        let mut kept = None;
-        while tried.len() < ATTEMPTS && !order.left().is_zero() {
-            if !tried.is_empty() && !self.may_retry(order, &last) {
+        let mut fallback = None;
+        while tried.len() < MAX_ATTEMPTS && !request.time_left().is_zero() {
+            if !tried.is_empty() && !self.may_retry(request, &last) {
                 break;
             }
-            let target = match self.choose_target(order, true, &tried) {
+            let target = match self.choose_target(request, true, &tried) {
                 Ok(it) => it,
                 Err(refusal) if tried.is_empty() => return Outcome::NotRun(refusal),
                 Err(_) => break,
             };
             let (connection, share) =
-                if tried.is_empty() { (Connection::Pooled, FIRST_SHARE) } else { (Connection::New, 1.0) };
-            let attempt = Attempt { order, work, leg: None, connection, budget: order.left().mul_f64(share) };
-            last = self.try_once(&target, &attempt);
-            if answered_well(&last) {
+                if tried.is_empty() { (Connection::Pooled, FIRST_ATTEMPT_SHARE) } else { (Connection::New, 1.0) };
+            let attempt = Attempt { request, work, leg: None, connection, budget: request.time_left().mul_f64(share) };
+            last = self.attempt_idempotent(&target, &attempt);
+            if is_conclusive(&last) {
                 return last;
             }
             metrics::counter!("jayreach_failed_attempts_total", "outcome" => last.name()).increment(1);
-            keep_telling(&mut kept, &last);
+            update_fallback(&mut fallback, &last);
             tried.push(target);
         }
-        kept.unwrap_or(last)
+        fallback.unwrap_or(last)
     }
 
-    fn try_once(&self, target: &Arc<Target>, attempt: &Attempt<'_>) -> Outcome {
-        match self.send(target, attempt, attempt.budget + GRACE) {
+    /// Makes one attempt at an idempotent request.
+    fn attempt_idempotent(&self, target: &Arc<Target>, attempt: &Attempt<'_>) -> Outcome {
+        match self.send(target, attempt, attempt.budget + REPLY_MARGIN) {
             Ok(reply) => reply.outcome,
             Err(Silence::Refused) => Outcome::NotRun(Refusal::GuardUnreachable),
             Err(Silence::NoLocalPort) => Outcome::NotRun(Refusal::Overloaded),
@@ -113,13 +115,14 @@
         }
     }
 
-    /// Sends an attempt to its target's guard and waits for `timeout` at most.
+    /// Sends an attempt to the target's guard, waits up to `timeout` for the reply, and records what it shows about the
+    /// target's load and the path.
     fn send(&self, target: &Arc<Target>, attempt: &Attempt<'_>, timeout: Duration) -> Result<DispatchReply, Silence> {
         let dispatch = Dispatch {
             request_id: self.request_id(),
             guard_incarnation: target.guard.incarnation,
             endpoint: target.row.id.clone(),
-            importance: attempt.order.importance,
+            importance: attempt.request.importance,
             budget_ms: attempt.budget.as_millis() as u64,
             retry: attempt.connection == Connection::New,
             leg: attempt.leg.clone(),
@@ -127,7 +130,7 @@
         };
         let ticketed = dispatch.leg.is_some();
         let in_flight = target.start_request();
-        let result = if self.is_self(&target.guard) {
+        let result = if self.is_own_guard(&target.guard) {
             Ok(self.execute(&dispatch))
         } else {
             self.peers.dispatch(target.guard.peers, &dispatch, attempt.connection, timeout)
@@ -140,47 +143,47 @@
             }
             Err(Silence::NoLocalPort) => (),
             Err(Silence::Refused) => target.guard.record_failure(),
-            // A ticketed attempt is asked about before its path is blamed.
+            // A ticketed attempt is revoked next, and the result of that call is recorded for the path.
             Err(Silence::Lost) if ticketed => (),
             Err(Silence::Lost) => target.guard.record_failure(),
         }
         result
     }
 
-    /// Runs work under a ticket: here if this is its home, else there.
-    pub(crate) fn run_ticketed(&self, order: RequestContext<'_>, ticket: &Ticket, work: Work) -> Outcome {
+    /// Runs a request under a ticket: here if this daemon issued the ticket, otherwise at the ticket's home.
+    pub(crate) fn run_ticketed(&self, request: RequestContext<'_>, ticket: &Ticket, work: Work) -> Outcome {
         let forward = Forward {
             ticket: ticket.clone(),
-            budget_ms: order.left().as_millis() as u64,
-            service: order.service.into(),
-            class: order.class.into(),
-            importance: order.importance,
+            budget_ms: request.time_left().as_millis() as u64,
+            service: request.service.into(),
+            class: request.class.into(),
+            importance: request.importance,
             work,
         };
         if ticket.home == self.settings.name {
             return self.run_at_home(&forward);
         }
         let Some(address) = peer_address(self, &ticket.home) else {
-            return self.ask_ledgers(order, ticket);
+            return self.query_ledgers(request, ticket);
         };
-        match self.peers.forward(address, &forward, order.left() + GRACE) {
+        match self.peers.forward(address, &forward, request.time_left() + REPLY_MARGIN) {
             Ok(outcome) => outcome,
-            Err(Silence::Refused | Silence::NoLocalPort) => self.ask_ledgers(order, ticket),
+            Err(Silence::Refused | Silence::NoLocalPort) => self.query_ledgers(request, ticket),
             Err(Silence::Lost) => Outcome::Unknown(Doubt::HomeUnreachable),
         }
     }
 
-    /// Runs work under one of this daemon's own tickets.
+    /// Runs a request under a ticket that this daemon issued.
     pub(crate) fn run_at_home(&self, forward: &Forward) -> Outcome {
         let deadline = Instant::now() + Duration::from_millis(forward.budget_ms);
         let Forward { service, class, importance, .. } = forward;
-        let order = RequestContext { service, class, importance: *importance, deadline };
+        let request = RequestContext { service, class, importance: *importance, deadline };
         if self.is_leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
         match self.tickets.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
             Begin::Run => {
-                let outcome = self.run_attempts(order, &forward.ticket, &forward.work);
+                let outcome = self.run_attempts(request, &forward.ticket, &forward.work);
                 Outcome::clone(&self.tickets.settle(forward.ticket.sequence, outcome))
             }
             Begin::Ended(outcome) => Outcome::clone(&outcome),
@@ -188,25 +191,26 @@
             Begin::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
             Begin::Expired => Outcome::Unknown(Doubt::TicketExpired),
             Begin::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
-            Begin::Foreign => self.ask_ledgers(order, &forward.ticket),
+            Begin::Foreign => self.query_ledgers(request, &forward.ticket),
         }
     }
 
-    /// Sends work under a running ticket, to another guard only when the last attempt can't run.
-    fn run_attempts(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work) -> Outcome {
+    /// Makes attempts under a running ticket. Another guard is tried only after the last attempt certainly did not run
+    /// and can't run later.
+    fn run_attempts(&self, request: RequestContext<'_>, ticket: &Ticket, work: &Work) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
-        self.budgets.deposit(order.class);
-        while tried.len() < ATTEMPTS && !order.left().is_zero() {
-            if !tried.is_empty() && !self.may_retry(order, &Outcome::NotRun(last)) {
+        self.budgets.deposit(request.class);
+        while tried.len() < MAX_ATTEMPTS && !request.time_left().is_zero() {
+            if !tried.is_empty() && !self.may_retry(request, &Outcome::NotRun(last)) {
                 break;
             }
-            let target = match self.choose_target(order, false, &tried) {
+            let target = match self.choose_target(request, false, &tried) {
                 Ok(it) => it,
                 Err(refusal) if tried.is_empty() => return Outcome::NotRun(refusal),
                 Err(_) => break,
             };
-            match self.run_attempt(order, ticket, work, &target) {
+            match self.run_attempt(request, ticket, work, &target) {
                 Verdict::Settle(outcome) => return outcome,
                 Verdict::TryAnother(refusal) => last = refusal,
                 Verdict::Ask => return Outcome::Unknown(Doubt::GuardSilent),
@@ -216,29 +220,29 @@
         Outcome::NotRun(last)
     }
 
-    /// One attempt, and asking about it until it is decided or the time is up.
-    fn run_attempt(&self, order: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
+    /// Makes one attempt. While its result is unknown, revokes it again and again until the deadline.
+    fn run_attempt(&self, request: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
         let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
         let Some(leg) = self.tickets.dispatch(ticket, guard) else {
             return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
         };
-        let budget = order.left();
-        let timeout = FIRST_WAIT.min(budget + GRACE);
-        let attempt = Attempt { order, work, leg: Some(leg.clone()), connection: Connection::Pooled, budget };
+        let budget = request.time_left();
+        let timeout = FIRST_REPLY_TIMEOUT.min(budget + REPLY_MARGIN);
+        let attempt = Attempt { request, work, leg: Some(leg.clone()), connection: Connection::Pooled, budget };
         let sent = self.send(target, &attempt, timeout);
         let mut verdict = match sent {
             Ok(reply) => judge_reply(reply.outcome),
             Err(silence) => judge_silence(silence),
         };
-        while verdict == Verdict::Ask && !order.left().is_zero() {
-            verdict = match self.revoke(&target.guard, leg.clone(), order.left().min(ASK_WAIT)) {
+        while verdict == Verdict::Ask && !request.time_left().is_zero() {
+            verdict = match self.revoke(&target.guard, leg.clone(), request.time_left().min(REVOKE_WAIT)) {
                 Ok(reply) => {
                     target.guard.record_success();
                     judge_revoke(reply)
                 }
                 Err(_) => {
                     target.guard.record_failure();
-                    thread::sleep(ASK_PAUSE.min(order.left()));
+                    thread::sleep(REVOKE_RETRY_PAUSE.min(request.time_left()));
                     Verdict::Ask
                 }
             };
@@ -246,16 +250,18 @@
         verdict
     }
 
+    /// Revokes an attempt at a guard, which may wait for up to `wait` while the attempt is running.
     fn revoke(&self, guard: &Guard, leg: TicketLeg, wait: Duration) -> Result<RevokeReply, Silence> {
         metrics::counter!("jayreach_revokes_total").increment(1);
         let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: wait.as_millis() as u64 };
-        if self.is_self(guard) {
+        if self.is_own_guard(guard) {
             return Ok(self.guard.revoke(&revoke));
         }
-        self.peers.call(guard.peers, PeerCall::Revoke, &revoke, Connection::New, wait + GRACE)
+        self.peers.call(guard.peers, PeerCall::Revoke, &revoke, Connection::New, wait + REPLY_MARGIN)
     }
 
-    /// Asks what became of the tickets whose outcome was unknown when their time was up.
+    /// Revokes the last attempt under each ticket whose unknown outcome may still be resolved, and records what the
+    /// guard replies.
     pub(crate) fn resolve_unknown(&self) {
         let (unresolved, low_water) = self.tickets.unresolved();
         for (sequence, attempt, guard) in unresolved {
@@ -266,7 +272,7 @@
             let reply = if guard.daemon == self.settings.name {
                 Ok(self.guard.revoke(&revoke))
             } else {
-                self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, LEDGER_TIMEOUT)
+                self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, TICKET_QUERY_TIMEOUT)
             };
             match reply.map(judge_revoke) {
                 Ok(Verdict::Settle(outcome)) => _ = self.tickets.settle(sequence, outcome),
@@ -276,14 +282,14 @@
         }
     }
 
-    /// The home can't be asked: its guards may have a record. Silence proves nothing, so without a
-    /// record it stays unknown.
-    fn ask_ledgers(&self, order: RequestContext<'_>, ticket: &Ticket) -> Outcome {
-        for guard in self.view.guards(order.service) {
-            if order.left().is_zero() {
+    /// Looks for the outcome in the ledgers of the service's guards when the ticket's home can't be reached. A missing
+    /// record or reply doesn't prove that the request did not run, so without a record the outcome is unknown.
+    fn query_ledgers(&self, request: RequestContext<'_>, ticket: &Ticket) -> Outcome {
+        for guard in self.view.guards(request.service) {
+            if request.time_left().is_zero() {
                 break;
             }
-            match self.ask_ledger(&guard, ticket) {
+            match self.query_ledger(&guard, ticket) {
                 Some(TicketStatus::Ended(outcome)) => return outcome,
                 Some(TicketStatus::Running) => return Outcome::Unknown(Doubt::StillRunning),
                 Some(TicketStatus::Fresh | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
@@ -292,52 +298,53 @@
         Outcome::Unknown(Doubt::HomeUnreachable)
     }
 
-    fn ask_ledger(&self, guard: &Guard, ticket: &Ticket) -> Option<TicketStatus> {
-        if self.is_self(guard) {
+    fn query_ledger(&self, guard: &Guard, ticket: &Ticket) -> Option<TicketStatus> {
+        if self.is_own_guard(guard) {
             return Some(self.guard.status(ticket));
         }
         let query = TicketQuery { ticket: ticket.clone() };
-        self.peers.call(guard.peers, PeerCall::Ledger, &query, Connection::New, LEDGER_TIMEOUT).ok()
+        self.peers.call(guard.peers, PeerCall::Ledger, &query, Connection::New, TICKET_QUERY_TIMEOUT).ok()
     }
 
-    /// Whether a refusal of this very request would leave its caller with an untruth, because an
-    /// earlier one under the same ticket may have run.
+    /// Whether an earlier request under this ticket may have run, so that the outcome "not run" would be wrong. Asks
+    /// the ticket's home if that is another daemon.
     pub(crate) fn may_have_run(&self, ticket: &Ticket) -> bool {
         may_have_run(self.ticket_status(ticket).as_ref())
     }
 
-    /// Like `may_have_run`, but without asking other daemons.
+    /// Like `may_have_run`, but without a call to another daemon: a ticket of another home counts as one that may have
+    /// run.
     pub(crate) fn may_have_run_by_records(&self, ticket: &Ticket) -> bool {
         let own = ticket.home == self.settings.name;
         may_have_run(own.then(|| self.tickets.status(ticket)).as_ref())
     }
 
-    /// What is known of a ticket anywhere.
+    /// The state of a ticket at its home; `None` if the home can't be reached.
     pub(crate) fn ticket_status(&self, ticket: &Ticket) -> Option<TicketStatus> {
         if ticket.home == self.settings.name {
             return Some(self.tickets.status(ticket));
         }
         let address = peer_address(self, &ticket.home)?;
         let query = TicketQuery { ticket: ticket.clone() };
-        self.peers.call(address, PeerCall::Ticket, &query, Connection::New, LEDGER_TIMEOUT).ok()
+        self.peers.call(address, PeerCall::Ticket, &query, Connection::New, TICKET_QUERY_TIMEOUT).ok()
     }
 
     fn choose_target(
         &self,
-        order: RequestContext<'_>,
+        request: RequestContext<'_>,
         idempotent: bool,
         tried: &[Arc<Target>],
     ) -> Result<Arc<Target>, Refusal> {
-        RNG.with_borrow_mut(|rng| self.view.choose_target(order.service, order.importance, idempotent, tried, rng))
+        RNG.with_borrow_mut(|rng| self.view.choose_target(request.service, request.importance, idempotent, tried, rng))
     }
 
-    /// Whether the last attempt may be followed by another one; takes it out of the class's budget
-    /// if it costs the endpoints anything.
-    fn may_retry(&self, order: RequestContext<'_>, last: &Outcome) -> bool {
-        free_retry(last) || self.budgets.withdraw(order.class)
+    /// Whether another attempt is allowed after `last`. A retry that costs an endpoint anything is withdrawn from the
+    /// retry budget of its class.
+    fn may_retry(&self, request: RequestContext<'_>, last: &Outcome) -> bool {
+        is_free_retry(last) || self.budgets.withdraw(request.class)
     }
 
-    fn is_self(&self, guard: &Guard) -> bool {
+    fn is_own_guard(&self, guard: &Guard) -> bool {
         guard.daemon == self.settings.name
     }
 
@@ -346,7 +353,7 @@
     }
 
     fn request_id(&self) -> Box<str> {
-        let number = REQUESTS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.settings.name, self.incarnation).into()
     }
 }
@@ -355,26 +362,26 @@
     !matches!(status, Some(TicketStatus::Fresh | TicketStatus::Ended(Outcome::NotRun(_))))
 }
 
-/// Keeps what a caller must be told if no later attempt goes well: an answer before a doubt, and
-/// either before "not run", which would be untrue once one attempt may have run.
-fn keep_telling(kept: &mut Option<Outcome>, last: &Outcome) {
-    let replaces = match (&kept, last) {
+/// Updates the outcome to report if no later attempt succeeds. A response takes precedence over an unknown outcome, and
+/// both over "not run", which would be wrong once an attempt may have run.
+fn update_fallback(fallback: &mut Option<Outcome>, last: &Outcome) {
+    let replaces = match (&fallback, last) {
         (_, Outcome::NotRun(_)) | (Some(Outcome::Done(_)), _) => false,
         (_, Outcome::Done(_)) | (None, Outcome::Unknown(_)) => true,
         (Some(_), Outcome::Unknown(_)) => false,
     };
     if replaces {
-        *kept = Some(last.clone());
+        *fallback = Some(last.clone());
     }
 }
 
-/// Whether idempotent work has the answer it was sent for; an error of one endpoint may be its own.
-fn answered_well(outcome: &Outcome) -> bool {
+/// Whether no other attempt is needed. A 5xx response may be the fault of one endpoint.
+fn is_conclusive(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Done(answer) if answer.status < 500)
 }
 
-/// Whether a retry costs the endpoints nothing, so that it needs no budget.
-fn free_retry(last: &Outcome) -> bool {
+/// Whether a retry after this outcome needs no budget, because the refused attempt cost no endpoint anything.
+fn is_free_retry(last: &Outcome) -> bool {
     match last {
         Outcome::NotRun(refusal) => !matches!(refusal, Refusal::Overloaded | Refusal::TooLate | Refusal::EndpointShed),
         Outcome::Done(_) | Outcome::Unknown(_) => false,
