--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -1,4 +1,4 @@
-//! Calls to an endpoint: what is sent, and what its answer or silence means.
+//! Sends a request to an endpoint, and derives from the response or its absence the outcome and a sample for ejection.
 
 use std::time::Duration;
 
@@ -11,67 +11,67 @@
     wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
 };
 
-/// How long telling an endpoint that a request is cancelled may take.
+/// How long the call that cancels a request at its endpoint may take.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(200);
-/// The header by which an endpoint says that it shed a request without running it.
+/// The response header by which an endpoint states that it shed a request without running it.
 const OUTCOME_HEADER: &str = "jayreach-outcome";
 
-/// Passes work on; also returns what the call says of the endpoint, if anything.
-pub(crate) fn call(client: &Client, dispatch: &Dispatch, left: Duration) -> (Outcome, Option<Sample>) {
-    judge(send(client, dispatch, left))
+/// Sends a request to its endpoint; also returns a sample of the endpoint's health, if the call gives one.
+pub(crate) fn call(client: &Client, dispatch: &Dispatch, time_left: Duration) -> (Outcome, Option<Sample>) {
+    classify_result(send(client, dispatch, time_left))
 }
 
-enum Called {
-    Answered(ClientResponse),
-    Silent(Silence),
+enum CallResult {
+    Response(ClientResponse),
+    Failed(Silence),
     NotSent(Refusal),
 }
 
-fn send(client: &Client, dispatch: &Dispatch, left: Duration) -> Called {
-    let Some(req) = request(dispatch, left) else {
-        return Called::NotSent(Refusal::BadRequest);
+fn send(client: &Client, dispatch: &Dispatch, time_left: Duration) -> CallResult {
+    let Some(req) = request(dispatch, time_left) else {
+        return CallResult::NotSent(Refusal::BadRequest);
     };
     let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::New } else { Connection::Pooled };
-    match client.call(req, connection, left) {
-        Ok(reply) => Called::Answered(reply),
-        Err(silence) => Called::Silent(silence),
+    match client.call(req, connection, time_left) {
+        Ok(resp) => CallResult::Response(resp),
+        Err(silence) => CallResult::Failed(silence),
     }
 }
 
-fn request(dispatch: &Dispatch, left: Duration) -> Option<Request<Vec<u8>>> {
+fn request(dispatch: &Dispatch, time_left: Duration) -> Option<Request<Vec<u8>>> {
     let Work { method, target, headers, body } = &dispatch.work;
     let mut req = Request::builder().method(&**method).uri(format!("http://{}{target}", dispatch.endpoint));
     for Header { name, value } in headers {
         req = req.header(&**name, &**value);
     }
     req.header("Jayreach-Request-Id", &*dispatch.request_id)
-        .header("Jayreach-Deadline-Ms", left.as_millis() as u64)
+        .header("Jayreach-Deadline-Ms", time_left.as_millis() as u64)
         .body(body.clone())
         .ok()
 }
 
-/// What an endpoint's answer or silence means to the caller, and what it says of the endpoint.
-fn judge(called: Called) -> (Outcome, Option<Sample>) {
-    match called {
-        Called::NotSent(refusal) => (Outcome::NotRun(refusal), None),
-        Called::Answered(reply) if shed(&reply) => (Outcome::NotRun(Refusal::EndpointShed), None),
-        Called::Answered(reply) => {
-            let sample = if reply.status >= 500 { Sample::Bad } else { Sample::Good };
-            let ClientResponse { status, headers, body } = reply;
+/// Derives the outcome of the request and the sample of the endpoint's health.
+fn classify_result(result: CallResult) -> (Outcome, Option<Sample>) {
+    match result {
+        CallResult::NotSent(refusal) => (Outcome::NotRun(refusal), None),
+        CallResult::Response(resp) if is_shed(&resp) => (Outcome::NotRun(Refusal::EndpointShed), None),
+        CallResult::Response(resp) => {
+            let sample = if resp.status >= 500 { Sample::Bad } else { Sample::Good };
+            let ClientResponse { status, headers, body } = resp;
             (Outcome::Done(Answer { status, headers, body }), Some(sample))
         }
-        Called::Silent(Silence::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
-        Called::Silent(Silence::Refused) => (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad)),
-        Called::Silent(Silence::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
+        CallResult::Failed(Silence::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
+        CallResult::Failed(Silence::Refused) => (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad)),
+        CallResult::Failed(Silence::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
     }
 }
 
-fn shed(reply: &ClientResponse) -> bool {
-    let says = |it: &Header| it.name.eq_ignore_ascii_case(OUTCOME_HEADER) && &*it.value == "not-run";
-    reply.status == 503 && reply.headers.iter().any(says)
+fn is_shed(resp: &ClientResponse) -> bool {
+    let is_not_run = |it: &Header| it.name.eq_ignore_ascii_case(OUTCOME_HEADER) && &*it.value == "not-run";
+    resp.status == 503 && resp.headers.iter().any(is_not_run)
 }
 
-/// Tells the endpoint that nobody waits any more; its connection was closed before.
+/// Cancels a request at its endpoint, whose response is no longer awaited. The request's connection is already closed.
 pub(crate) fn cancel(client: &Client, dispatch: &Dispatch) {
     let uri = format!("http://{}/.jayreach/requests/{}", dispatch.endpoint, dispatch.request_id);
     let Ok(req) = Request::builder().method("DELETE").uri(uri).body(Vec::new()) else { return };
