--- a/src/daemon/active_config.rs
+++ b/src/daemon/active_config.rs
@@ -1,4 +1,5 @@
-//! The configuration this daemon has in force, and how it gets a newer one.
+//! The active configuration of this daemon, and its replacement by a newer one. Unchanged parts are reused; only
+//! missing ones are fetched.
 
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
@@ -9,7 +10,7 @@
     util::lock,
 };
 
-/// A configuration with its coded parts, which peers may ask for.
+/// A configuration with its encoded parts, which peers may request.
 pub(crate) struct Config {
     pub(crate) root: Root,
     pub(crate) root_bytes: Vec<u8>,
@@ -19,40 +20,45 @@
 }
 
 impl Config {
-    /// The bytes of a part.
+    /// The encoded part with this digest.
     pub(crate) fn part(&self, digest: &Digest) -> Option<Arc<Vec<u8>>> {
         let at = self.root.parts.iter().position(|it| it.0 == *digest)?;
         Some(Arc::clone(&self.parts[at]))
     }
 }
 
-/// The configuration in force; its version only goes up.
+/// The active configuration. Its version never decreases.
 #[derive(Default)]
 pub(crate) struct ActiveConfig {
     current: RwLock<Option<Arc<Config>>>,
-    /// Held while a newer one is fetched, so that one fetch at a time runs.
+    /// Locked while a newer configuration is fetched, so that fetches don't overlap.
     fetching: Mutex<()>,
 }
 
 impl ActiveConfig {
-    /// The configuration in force.
+    /// The active configuration; `None` before the first one.
     pub(crate) fn get(&self) -> Option<Arc<Config>> {
         self.current.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Its version; zero if there is none.
+    /// The version of the active configuration; 0 if there is none.
     pub(crate) fn version(&self) -> Version {
         self.get().map_or(0, |it| it.root.version)
     }
 
-    /// Whether a newer one is being fetched.
+    /// Whether a fetch is under way.
     pub(crate) fn is_fetching(&self) -> bool {
         self.fetching.try_lock().is_err()
     }
 
-    /// Puts a root in force if it is newer, fetching the parts that are not here yet.
+    /// Activates the configuration of an encoded root and returns it; returns `None` if it isn't newer than the active
+    /// one.
     ///
-    /// `fetch` is asked for all missing parts and answers with the first few of them, in order.
+    /// `fetch` is called with the missing parts and returns the first of them, in their order, until all are there.
+    ///
+    /// # Errors
+    ///
+    /// If the root or a part is malformed, or `fetch` returns no valid part.
     pub(crate) fn adopt(
         &self,
         root_bytes: Vec<u8>,
@@ -76,32 +82,32 @@
         fetch: impl Fn(&[PartRef]) -> Option<Vec<Vec<u8>>>,
     ) -> Result<Vec<Arc<Vec<u8>>>, Error> {
         let current = self.get();
-        let held = |it: &PartRef| current.as_ref().and_then(|config| config.part(&it.0));
-        let missing: Vec<_> = root.parts.iter().filter(|it| held(it).is_none()).copied().collect();
+        let local_part = |it: &PartRef| current.as_ref().and_then(|config| config.part(&it.0));
+        let missing: Vec<_> = root.parts.iter().filter(|it| local_part(it).is_none()).copied().collect();
         let mut fetched = Vec::with_capacity(missing.len());
         while fetched.len() < missing.len() {
-            let wanted = &missing[fetched.len()..];
-            let got = fetch(wanted).unwrap_or_default();
-            let good = got.into_iter().zip(wanted).take_while(|(bytes, it)| digest(bytes) == it.0);
-            let before = fetched.len();
-            fetched.extend(good.map(|(bytes, _)| Arc::new(bytes)));
-            if fetched.len() == before {
-                return Err(missing_part(&wanted[0].0));
+            let remaining = &missing[fetched.len()..];
+            let received = fetch(remaining).unwrap_or_default();
+            let valid = received.into_iter().zip(remaining).take_while(|(bytes, it)| digest(bytes) == it.0);
+            let count_before = fetched.len();
+            fetched.extend(valid.map(|(bytes, _)| Arc::new(bytes)));
+            if fetched.len() == count_before {
+                return Err(missing_part(&remaining[0].0));
             }
         }
         let mut fetched = fetched.into_iter();
-        Ok(root.parts.iter().filter_map(|it| held(it).or_else(|| fetched.next())).collect())
+        Ok(root.parts.iter().filter_map(|it| local_part(it).or_else(|| fetched.next())).collect())
     }
 
     fn activate(&self, config: &Arc<Config>) {
         let mut current = self.current.write().unwrap_or_else(PoisonError::into_inner);
-        let before = current.as_ref().map_or(0, |it| it.root.version);
-        assert!(before < config.root.version, "a configuration never goes back");
+        let old_version = current.as_ref().map_or(0, |it| it.root.version);
+        assert!(old_version < config.root.version, "the version of the active configuration must increase");
         *current = Some(Arc::clone(config));
     }
 }
 
 fn missing_part(digest: &Digest) -> Error {
     let context = format!("{ROOT_KEY}, part {}", crate::util::hex(digest));
-    Error::Corrupt { context: context.into(), message: "nobody had this part".into() }
+    Error::Corrupt { context: context.into(), message: "the part could not be fetched".into() }
 }
--- a/src/daemon/config_watch.rs
+++ b/src/daemon/config_watch.rs
@@ -1,7 +1,8 @@
-//! What a daemon asks of the platform: the configuration, and its own presence.
+//! Watches the configuration in the platform's store and writes this daemon's presence object there.
 //!
-//! Only the first few daemons of a data centre, by a hash that all agree on, wait for changes at
-//! the store; the others hear of them from peers. Two more or fewer do no harm.
+//! Only the first `WATCHERS` daemons of a data centre by rendezvous hash watch the store; the others get changes by
+//! gossip. Daemons may disagree about the watchers for a while: more or fewer of them change only the load and the
+//! delay.
 
 use std::{
     net::SocketAddr,
@@ -26,51 +27,51 @@
     wire::{decode, encode},
 };
 
-/// How many daemons of a data centre wait at the store.
+/// The number of daemons of a data centre that watch the store.
 const WATCHERS: usize = 2;
-/// How long one wait lasts. A connection may go silent for good without a word, and a change must be in force within six
-/// seconds: with waits of 30 s it was not after 30 s (two daemons behind a relay).
-const WATCH: Duration = Duration::from_secs(3);
-/// How often a daemon looks whether it has become a watcher.
-const LOOK: Duration = Duration::from_secs(1);
-/// How often a daemon that does not wait reads the root all the same.
-const BACKSTOP: Duration = Duration::from_secs(300);
-/// How long a daemon without a configuration waits for a peer that has one before it reads the
-/// store itself: the watchers' parts reach the fleet sooner than all daemons could read them.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// The first and the longest pause after the store failed.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(10));
+/// The time limit of one watch; short enough that a change becomes active in time although the connection of a watch
+/// broke without notice.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval at which a daemon checks whether it has become a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which a daemon that doesn't watch reads the root anyway.
+const FALLBACK_READ_INTERVAL: Duration = Duration::from_secs(300);
+/// How long a daemon without a configuration waits to get one from a peer before it reads the store itself, so that a
+/// fleet that starts doesn't overload the store.
+const INITIAL_READ_DELAY: Duration = Duration::from_secs(20);
+/// The first and the longest pause after a failed call to the store.
+const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(10));
 
-/// Keeps the configuration up to date, for ever.
+/// Keeps the configuration up to date until the process ends.
 pub(crate) fn run(daemon: &Arc<Daemon>) {
     let mut seen: ObjectVersion = 0;
-    let mut backoff = BACKOFF.0;
-    let mut read_at = Instant::now();
+    let mut backoff = BACKOFF_RANGE.0;
+    let mut last_read = Instant::now();
     loop {
-        let watches = is_watcher(daemon);
-        let patience = if daemon.config.version() == 0 { PATIENCE } else { BACKSTOP };
-        let due = read_at.elapsed() >= patience.mul_f64(jitter());
-        if !due && !watches {
-            thread::sleep(LOOK);
+        let is_watching = is_watcher(daemon);
+        let read_interval = if daemon.config.version() == 0 { INITIAL_READ_DELAY } else { FALLBACK_READ_INTERVAL };
+        let due = last_read.elapsed() >= read_interval.mul_f64(jitter());
+        if !due && !is_watching {
+            thread::sleep(ROLE_CHECK_INTERVAL);
             continue;
         }
-        // All take up their waits at the same moment after a change; the jitter spreads them out.
-        let wait = if watches { WATCH.mul_f64(jitter()) } else { Duration::ZERO };
-        read_at = Instant::now();
+        // After a change all watchers begin a new watch at once; the jitter spreads the next ones.
+        let wait = if is_watching { WATCH_TIMEOUT.mul_f64(jitter()) } else { Duration::ZERO };
+        last_read = Instant::now();
         match daemon.platform.watch(ROOT_KEY, seen, wait) {
             Ok(Some(object)) => {
-                backoff = BACKOFF.0;
+                backoff = BACKOFF_RANGE.0;
                 if adopt_from_store(daemon, object.value) {
                     seen = object.version;
                 } else {
-                    pause(&mut backoff);
+                    pause_with_backoff(&mut backoff);
                 }
             }
-            Ok(None) => backoff = BACKOFF.0,
+            Ok(None) => backoff = BACKOFF_RANGE.0,
             Err(error) => {
-                log::debug!("watching the configuration: {error}");
+                log::debug!("watching {ROOT_KEY}: {error}");
                 metrics::counter!("jayreach_platform_errors_total").increment(1);
-                pause(&mut backoff);
+                pause_with_backoff(&mut backoff);
             }
         }
     }
@@ -80,18 +81,18 @@
     rand::rng().random_range(0.7..1.3)
 }
 
-fn pause(backoff: &mut Duration) {
+fn pause_with_backoff(backoff: &mut Duration) {
     thread::sleep(backoff.mul_f64(jitter()));
-    *backoff = (*backoff * 2).min(BACKOFF.1);
+    *backoff = (*backoff * 2).min(BACKOFF_RANGE.1);
 }
 
-/// Whether this daemon is among the first of its data centre by the rendezvous hash.
+/// Whether this daemon is among the first `WATCHERS` of its data centre by rendezvous hash.
 fn is_watcher(daemon: &Daemon) -> bool {
     let rank = |it: &str| stable_hash(&[b"watcher", it.as_bytes()]);
     let own = rank(&daemon.settings.name);
     let table = lock(&daemon.table);
-    let near = table.live().filter(|it| it.data_centre == daemon.settings.data_centre && !it.leaving);
-    near.filter(|it| rank(&it.daemon) < own).count() < WATCHERS
+    let same_data_centre = table.live().filter(|it| it.data_centre == daemon.settings.data_centre && !it.leaving);
+    same_data_centre.filter(|it| rank(&it.daemon) < own).count() < WATCHERS
 }
 
 fn adopt_from_store(daemon: &Arc<Daemon>, root: Vec<u8>) -> bool {
@@ -102,33 +103,33 @@
     daemon.adopt(root, fetch)
 }
 
-/// Writes the presence object, by which others find this daemon when they join.
+/// Writes the presence object, by which joining daemons find this one; retries until the write succeeds.
 pub(crate) fn write_presence(daemon: &Arc<Daemon>) {
-    let key = own_key(daemon);
-    let mut backoff = BACKOFF.0;
+    let key = own_presence_key(daemon);
+    let mut backoff = BACKOFF_RANGE.0;
     while let Err(error) = daemon.platform.put(&key, b"", Expect::Anything) {
-        log::debug!("writing the presence object: {error}");
+        log::debug!("writing the presence object {key}: {error}");
         metrics::counter!("jayreach_platform_errors_total").increment(1);
-        pause(&mut backoff);
+        pause_with_backoff(&mut backoff);
     }
 }
 
-/// Removes the presence object; if that fails, joiners try the address in vain.
+/// Removes the presence object. If that fails, joining daemons may call an address without a listener.
 pub(crate) fn remove_presence(daemon: &Daemon) {
-    if let Err(error) = daemon.platform.remove(&own_key(daemon)) {
+    if let Err(error) = daemon.platform.remove(&own_presence_key(daemon)) {
         log::debug!("removing the presence object: {error}");
     }
 }
 
-fn own_key(daemon: &Daemon) -> String {
+fn own_presence_key(daemon: &Daemon) -> String {
     let settings = &daemon.settings;
     presence_key(&settings.data_centre, &settings.name, settings.peers)
 }
 
 impl Daemon {
-    /// Gets a newer configuration from the peer that has it.
+    /// Fetches the configuration of a peer that has a newer one, in the background.
     pub(crate) fn fetch_from_peer(self: &Arc<Self>, address: SocketAddr) {
-        // If that one is older, the next exchange brings this one up again.
+        // If the fetch under way gets an older version, a later exchange starts another one.
         if self.config.is_fetching() {
             return;
         }
@@ -136,9 +137,9 @@
         let job = Box::new(move || {
             let send = |call, body| cx.peers.send(address, call, body, 0, Connection::Pooled, CONTROL_TIMEOUT);
             let fetch = |parts: &[PartRef]| {
-                let want = encode(&PartsRequest { parts: parts.to_vec() });
-                let got: PartsReply = decode(&send(PeerCall::Parts, want).ok()?).ok()?;
-                Some(got.parts.into_iter().map(ByteBuf::into_vec).collect())
+                let request = encode(&PartsRequest { parts: parts.to_vec() });
+                let reply: PartsReply = decode(&send(PeerCall::Parts, request).ok()?).ok()?;
+                Some(reply.parts.into_iter().map(ByteBuf::into_vec).collect())
             };
             if let Ok(root) = send(PeerCall::Root, Vec::new()) {
                 cx.adopt(root, fetch);
@@ -149,19 +150,20 @@
         }
     }
 
-    /// Puts a configuration in force if it is newer, and tells the fleet. False if parts are missing.
+    /// Activates a configuration if it is newer, and queues its version for gossip; returns false if it is malformed or
+    /// incomplete.
     fn adopt(&self, root: Vec<u8>, fetch: impl Fn(&[PartRef]) -> Option<Vec<Vec<u8>>>) -> bool {
         match self.config.adopt(root, fetch) {
             Ok(None) => true,
             Ok(Some(config)) => {
                 self.view.update_floors(&config.directory);
                 self.phase.handle(PhaseEvent::Configured);
-                log::info!(version = config.root.version; "configuration in force");
+                log::info!(version = config.root.version; "configuration active");
                 self.queue_gossip(Vec::new());
                 true
             }
             Err(error) => {
-                log::warn!("a configuration was not taken in: {error}");
+                log::warn!("configuration not activated: {error}");
                 metrics::counter!("jayreach_config_errors_total").increment(1);
                 false
             }
