--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -1,4 +1,4 @@
-//! Pushes news to a few peers at once.
+//! Gossip: pushes changed rows and new configuration versions to a few random peers, which push them on.
 
 use std::{
     sync::Arc,
@@ -20,39 +20,39 @@
     wire::encode,
 };
 
-/// To how many peers rows are pushed; chosen by measurement (docs/CAPACITY.md, rows).
+/// The number of peers to which rows are pushed.
 const ROWS_FANOUT: usize = 3;
-/// To how many peers a new version is pushed: rarer and smaller than rows, and due within 6 s
-/// everywhere (letter 1).
+/// The number of peers to which a new version is pushed. Versions are rarer and smaller than rows, so a larger fan-out
+/// is cheap.
 const VERSION_FANOUT: usize = 6;
-/// How long news is gathered before it is pushed.
-const GATHER: Duration = Duration::from_millis(20);
-/// The least time between two pushes. A single change goes out at once; when many daemons and
-/// endpoints start together, each row would be pushed for each of its changes.
-const MIN_INTERVAL: Duration = Duration::from_millis(250);
-/// How many rows one push holds at most; well below the limit of a body.
-const ROWS_PER_PUSH: usize = 500;
+/// How long changed rows are collected before a push.
+const COALESCE_DELAY: Duration = Duration::from_millis(20);
+/// The shortest time between two pushes, so that a row that changes often, for instance while a fleet starts, isn't
+/// pushed for each change.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(250);
+/// The most rows in one push; keeps its body below `MAX_BODY_BYTES`.
+const MAX_ROWS_PER_PUSH: usize = 500;
 
-/// Pushes news as it comes.
+/// Pushes rows from the queue until it is closed.
 pub(crate) fn run(daemon: &Arc<Daemon>, rx: &Receiver<Vec<Row>>) {
-    let mut last = Instant::now();
+    let mut last_push = Instant::now();
     while let Ok(mut rows) = rx.recv() {
-        thread::sleep(GATHER.max(MIN_INTERVAL.saturating_sub(last.elapsed())));
+        thread::sleep(COALESCE_DELAY.max(MIN_PUSH_INTERVAL.saturating_sub(last_push.elapsed())));
         rows.extend(rx.try_iter().flatten());
-        last = Instant::now();
-        for chunk in chunks(&newest(rows)) {
+        last_push = Instant::now();
+        for chunk in chunks(&keep_newest(rows)) {
             push(daemon, chunk.to_vec());
         }
     }
 }
 
-/// Cuts rows into pushes; news without rows, a new version, is one push as well.
+/// Splits rows into pushes. Without rows there is one push, which carries the new version.
 fn chunks(rows: &[Row]) -> Vec<&[Row]> {
-    if rows.is_empty() { vec![rows] } else { rows.chunks(ROWS_PER_PUSH).collect() }
+    if rows.is_empty() { vec![rows] } else { rows.chunks(MAX_ROWS_PER_PUSH).collect() }
 }
 
-/// Keeps the newest of each daemon's rows.
-fn newest(mut rows: Vec<Row>) -> Vec<Row> {
+/// Keeps only the newest row of each daemon.
+fn keep_newest(mut rows: Vec<Row>) -> Vec<Row> {
     rows.sort_by(|a, b| (&a.daemon, b.stamp).cmp(&(&b.daemon, a.stamp)));
     rows.dedup_by(|a, b| a.daemon == b.daemon);
     rows
@@ -81,25 +81,25 @@
 }
 
 impl Daemon {
-    /// Takes rows in, brings the view up to date and passes the news on.
+    /// Merges rows into the table, applies those that changed to the view, and queues them for gossip.
     pub(crate) fn merge_rows(&self, rows: Vec<Row>) {
         let mut table = lock(&self.table);
-        let news = table.merge_all(rows, Instant::now());
-        self.apply_rows(&news);
+        let changed_rows = table.merge_all(rows, Instant::now());
+        self.apply_rows(&changed_rows);
         drop(table);
-        if !news.is_empty() {
-            self.queue_gossip(news);
+        if !changed_rows.is_empty() {
+            self.queue_gossip(changed_rows);
         }
     }
 
-    /// Brings the view up to date; called under the table's lock.
-    pub(crate) fn apply_rows(&self, news: &[Row]) {
-        for row in news {
+    /// Applies rows to the view. The caller holds the table's lock.
+    pub(crate) fn apply_rows(&self, changed_rows: &[Row]) {
+        for row in changed_rows {
             self.apply_row(row);
         }
     }
 
-    /// Takes a push in.
+    /// Handles a push of a peer.
     pub(crate) fn handle_push(self: &Arc<Self>, push: Push) {
         if push.version > self.config.version() {
             self.fetch_from_peer(push.sender);
--- a/src/daemon/membership.rs
+++ b/src/daemon/membership.rs
@@ -1,4 +1,5 @@
-//! Joining, probing and anti-entropy: one exchange a second with a random peer is all three.
+//! Membership of the fleet. A daemon exchanges tables with a random peer every second: this is the anti-entropy
+//! exchange, the probe of the peer, and for a new daemon the way to join.
 
 use std::{
     net::SocketAddr,
@@ -21,63 +22,63 @@
     util::lock,
 };
 
-/// How often a daemon compares its table with a peer's.
-const PERIOD: Duration = Duration::from_secs(1);
-/// One exchange in so many goes to a daemon that is held to be down.
+/// The interval of exchanges with random peers.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// One exchange in this many goes to a daemon that is marked down, so that a daemon that is back is found.
 const DOWN_ONE_IN: u32 = 10;
-/// How many peers are asked about a daemon that does not answer.
-const HELPERS: usize = 3;
-/// How many daemons a joiner tries in one round.
-const CONTACTS: usize = 3;
-/// The longest pause between two listings of the store by a daemon that knows nobody.
-const JOIN_PAUSE: Duration = Duration::from_secs(16);
+/// How many peers are asked to probe a daemon that did not respond.
+const INDIRECT_PROBES: usize = 3;
+/// How many addresses a joining daemon tries in one round.
+const JOIN_ATTEMPTS: usize = 3;
+/// The longest pause between two attempts to join.
+const MAX_JOIN_PAUSE: Duration = Duration::from_secs(16);
 
-/// A daemon to exchange with.
+/// The daemon for the next exchange.
 enum Partner {
-    /// It is in the table.
-    Known { daemon: Box<str>, address: SocketAddr, stamp: Stamp },
-    /// Nobody is.
-    Nobody,
+    /// A daemon from the table.
+    Member { daemon: Box<str>, address: SocketAddr, stamp: Stamp },
+    /// The table has no other daemon.
+    None,
 }
 
-/// Exchanges with a random peer every second, for ever.
+/// Exchanges tables with a random peer at each interval until the process ends.
 pub(crate) fn run(daemon: &Arc<Daemon>) {
-    let mut pause = PERIOD;
+    let mut join_pause = EXCHANGE_INTERVAL;
     loop {
-        match partner(daemon) {
-            Partner::Known { daemon: id, address, stamp } => {
-                pause = PERIOD;
-                meet(daemon, &id, address, stamp);
+        match choose_partner(daemon) {
+            Partner::Member { daemon: id, address, stamp } => {
+                join_pause = EXCHANGE_INTERVAL;
+                exchange_or_mark_down(daemon, &id, address, stamp);
             }
-            Partner::Nobody => {
-                join(daemon);
-                pause = (pause * 2).min(JOIN_PAUSE);
+            Partner::None => {
+                try_to_join(daemon);
+                join_pause = (join_pause * 2).min(MAX_JOIN_PAUSE);
             }
         }
         lock(&daemon.table).forget(Instant::now());
-        let alone = lock(&daemon.table).live().next().is_none();
-        let period = if alone { pause } else { PERIOD };
-        thread::sleep(period.mul_f64(rand::rng().random_range(0.8..1.2)));
+        let no_live_peer = lock(&daemon.table).live().next().is_none();
+        let interval = if no_live_peer { join_pause } else { EXCHANGE_INTERVAL };
+        thread::sleep(interval.mul_f64(rand::rng().random_range(0.8..1.2)));
     }
 }
 
-fn partner(daemon: &Daemon) -> Partner {
+fn choose_partner(daemon: &Daemon) -> Partner {
     let mut rng = rand::rng();
     let table = lock(&daemon.table);
     let live = table.live().choose(&mut rng);
     let down = table.down().choose(&mut rng).filter(|_| live.is_none() || rng.random_range(0..DOWN_ONE_IN) == 0);
     match down.or(live) {
-        Some(it) => Partner::Known { daemon: it.daemon.clone(), address: it.peers, stamp: it.stamp },
-        None => Partner::Nobody,
+        Some(it) => Partner::Member { daemon: it.daemon.clone(), address: it.peers, stamp: it.stamp },
+        None => Partner::None,
     }
 }
 
-fn meet(daemon: &Arc<Daemon>, id: &str, address: SocketAddr, stamp: Stamp) {
+fn exchange_or_mark_down(daemon: &Arc<Daemon>, id: &str, address: SocketAddr, stamp: Stamp) {
     if exchange(daemon, address).is_ok() || stamp.down {
         return;
     }
     metrics::counter!("jayreach_probes_failed_total").increment(1);
-    if helpers_reach(daemon, address) {
+    if is_reachable_by_others(daemon, address) {
         return;
     }
     let mut table = lock(&daemon.table);
@@ -85,18 +86,18 @@
         return;
     }
     let row = table.get(id).map(|it| Row::clone(it));
-    let news: Vec<_> = row.into_iter().collect();
-    daemon.apply_rows(&news);
+    let changed_rows: Vec<_> = row.into_iter().collect();
+    daemon.apply_rows(&changed_rows);
     drop(table);
-    log::info!(daemon = id; "daemon is down");
-    daemon.queue_gossip(news);
+    log::info!(daemon = id; "daemon marked down");
+    daemon.queue_gossip(changed_rows);
 }
 
-/// Whether any of a few peers reaches the address; it may be our own path that is cut.
-fn helpers_reach(daemon: &Daemon, address: SocketAddr) -> bool {
+/// Whether a few peers reach the address. If one does, only the path from this daemon is broken.
+fn is_reachable_by_others(daemon: &Daemon, address: SocketAddr) -> bool {
     let helpers: Vec<_> = {
         let table = lock(&daemon.table);
-        table.live().map(|it| it.peers).filter(|it| *it != address).sample(&mut rand::rng(), HELPERS)
+        table.live().map(|it| it.peers).filter(|it| *it != address).sample(&mut rand::rng(), INDIRECT_PROBES)
     };
     helpers.iter().any(|helper| {
         let probe = Probe { address };
@@ -105,7 +106,7 @@
     })
 }
 
-/// Compares tables with a peer and evens them out.
+/// Runs an anti-entropy exchange: compares tables with a peer and sends each side the newer rows of the other.
 fn exchange(daemon: &Arc<Daemon>, address: SocketAddr) -> Result<(), Silence> {
     let compare = Compare::new(&lock(&daemon.table), daemon.config.version());
     let call = |call, message: &Deliver| {
@@ -124,19 +125,20 @@
     Ok(())
 }
 
-/// Looks for anyone to exchange with: the settings' contacts, then the store's presence objects.
-fn join(daemon: &Arc<Daemon>) {
+/// Tries to join the fleet by an exchange with one of the contacts in the settings or the presence objects in the
+/// store.
+fn try_to_join(daemon: &Arc<Daemon>) {
     let own = daemon.settings.peers;
     let mut contacts = daemon.settings.contacts.clone();
     match daemon.platform.list(presence_prefix()) {
         Ok(keys) => contacts.extend(keys.iter().filter_map(|it| it.rsplit('/').next()?.parse::<SocketAddr>().ok())),
         Err(error) => {
-            log::debug!("listing the presence objects: {error}");
+            log::debug!("listing the presence objects in the store: {error}");
             metrics::counter!("jayreach_platform_errors_total").increment(1);
         }
     }
     let others = contacts.into_iter().filter(|it| *it != own);
-    let picked = others.sample(&mut rand::rng(), CONTACTS);
+    let picked = others.sample(&mut rand::rng(), JOIN_ATTEMPTS);
     for address in picked {
         if exchange(daemon, address).is_ok() {
             return;
@@ -145,24 +147,24 @@
 }
 
 impl Daemon {
-    /// Answers a peer's comparison.
+    /// Replies to the comparison of a peer.
     pub(crate) fn answer_compare(self: &Arc<Self>, compare: &Compare) -> Compared {
         compare.answer(&lock(&self.table), self.config.version())
     }
 
-    /// Answers a peer's delivery.
+    /// Merges the rows that a peer delivered and returns those that the peer needs.
     pub(crate) fn answer_deliver(&self, deliver: Deliver) -> Delivered {
         let mut table = lock(&self.table);
-        let (delivered, news) = deliver.answer(&mut table, Instant::now());
-        self.apply_rows(&news);
+        let (delivered, changed_rows) = deliver.answer(&mut table, Instant::now());
+        self.apply_rows(&changed_rows);
         drop(table);
-        if !news.is_empty() {
-            self.queue_gossip(news);
+        if !changed_rows.is_empty() {
+            self.queue_gossip(changed_rows);
         }
         delivered
     }
 
-    /// Whether a daemon answers at an address.
+    /// Whether a daemon responds at an address.
     pub(crate) fn is_peer_reachable(&self, address: SocketAddr, timeout: Duration) -> bool {
         self.peers.send(address, PeerCall::InForce, Vec::new(), 0, Connection::New, timeout).is_ok()
     }
