--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: what a request asks for, and how its outcome is told.
+//! The listener for callers: checks and routes a request, runs it, and maps its outcome to an HTTP response. No
+//! response states "not run" for a request that may have run.
 
 use std::{
     sync::Arc,
@@ -19,15 +20,15 @@
     wire::{Answer, Doubt, Header, Outcome, Refusal, Ticket, TicketStatus, Work},
 };
 
-/// How many tickets one call may ask for.
-const TICKETS_LIMIT: usize = 1000;
-/// How many bytes of headers a request may have.
-const HEADERS_LIMIT: usize = 32 * 1024;
-/// When a caller whose request did not run should come back, in seconds.
-const RETRY_AFTER: &str = "1";
-/// Where callers fetch tickets.
+/// The most tickets that one call may request.
+const MAX_TICKETS_PER_CALL: usize = 1000;
+/// The largest sum of the request target and the headers, in bytes.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
+/// The Retry-After header of a refused request, in seconds.
+const RETRY_AFTER_SECONDS: &str = "1";
+/// The path at which callers get tickets and their states.
 const TICKETS_PATH: &str = "/.jayreach/tickets";
-/// Headers of one connection, which are not passed on.
+/// Headers that apply to one connection and are not forwarded.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
     "content-length",
@@ -41,86 +42,86 @@
     "upgrade",
 ];
 
-/// The body of an answer of our own.
+/// The body of a response that the daemon itself makes.
 #[derive(Serialize)]
-struct Told<R: Serialize> {
+struct OutcomeBody<R: Serialize> {
     outcome: &'static str,
     reason: R,
     message: &'static str,
 }
 
-/// What is told of a ticket.
+/// The response with the state of a ticket.
 #[derive(Serialize)]
-struct TicketTold {
+struct TicketBody {
     ticket: String,
     state: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<u16>,
 }
 
-/// Finds out how much the request matters before a thread is given to it.
+/// Routes a request to find its importance, and passes it to the callers' thread pool, or refuses it if that is full.
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
     let config = daemon.config.get();
     let found = config.as_ref().and_then(|it| it.directory.route(path(req.target())));
     let share = found.map_or(0.5, |it| daemon.pool_share(it.class.importance));
     let cx = Arc::clone(daemon);
-    let refused = daemon.pools.callers.answer(req, share, move |req| {
+    let refused = daemon.pools.callers.handle(req, share, move |req| {
         let tracked = cx.track_request();
-        answer(&cx, req);
+        handle_request(&cx, req);
         tracked.close();
     });
     if let Some(req) = refused {
-        refuse_truly(req, Refusal::Overloaded, |ticket| daemon.may_have_run_by_records(ticket));
+        refuse_or_unknown(req, Refusal::Overloaded, |ticket| daemon.may_have_run_by_records(ticket));
     }
 }
 
-fn answer(daemon: &Arc<Daemon>, req: Request) {
+fn handle_request(daemon: &Arc<Daemon>, req: Request) {
     if path(req.target()).starts_with("/.jayreach/") {
-        return answer_own(daemon, req);
+        return handle_own_path(daemon, req);
     }
     let Some(config) = daemon.config.get() else {
         return refuse(req, Refusal::NoConfiguration, None);
     };
     match prepare(daemon, &config, &req) {
-        Ok(order) => run(daemon, &config, req, order),
-        // A ticket rides on the refusal, so that the caller needs no call of its own for it.
+        Ok(prepared) => run_request(daemon, &config, req, prepared),
+        // The refusal carries a new ticket, which saves the caller a call.
         Err(Refusal::TicketNeeded) => refuse(req, Refusal::TicketNeeded, Some(daemon.tickets.issue(1).remove(0))),
-        Err(Refusal::ShuttingDown) => refuse_truly(req, Refusal::ShuttingDown, |it| daemon.may_have_run(it)),
-        // Other daemons are not troubled for a request that is wrong in itself.
-        Err(refusal) => refuse_truly(req, refusal, |it| daemon.may_have_run_by_records(it)),
+        Err(Refusal::ShuttingDown) => refuse_or_unknown(req, Refusal::ShuttingDown, |it| daemon.may_have_run(it)),
+        // The request itself is invalid, which doesn't justify calls to other daemons.
+        Err(refusal) => refuse_or_unknown(req, refusal, |it| daemon.may_have_run_by_records(it)),
     }
 }
 
-/// A request that may be run.
-struct Prepared {
+/// A valid request, ready to run.
+struct PreparedRequest {
     path: Box<str>,
     deadline: Instant,
     ticket: Option<Ticket>,
     work: Work,
 }
 
-fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<Prepared, Refusal> {
+fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<PreparedRequest, Refusal> {
     if daemon.is_leaving() {
         return Err(Refusal::ShuttingDown);
     }
-    let arrived = Instant::now();
+    let received_at = Instant::now();
     let path: Box<str> = path(req.target()).into();
     let found = config.directory.route(&path).ok_or(Refusal::NoRoute)?;
     check_account(config, req, found)?;
     check_headers(req)?;
-    let ticket = ticket(req, found.class)?;
-    let lateness = lateness(req, found.class)?;
+    let ticket = parse_ticket(req, found.class)?;
+    let time_limit = time_limit(req, found.class)?;
     let body = req.body().map_err(|it| match it {
         BodyError::TooLarge => Refusal::TooLarge,
-        BodyError::Broken => Refusal::BadRequest,
+        BodyError::Unreadable => Refusal::BadRequest,
     })?;
     let work = Work {
         method: req.method().as_str().into(),
         target: req.target().into(),
-        headers: passed_on(req, found.public),
+        headers: forwarded_headers(req, found.public),
         body: body.to_vec(),
     };
-    Ok(Prepared { path, deadline: arrived + lateness, ticket, work })
+    Ok(PreparedRequest { path, deadline: received_at + time_limit, ticket, work })
 }
 
 fn check_account(config: &Config, req: &Request, found: Found<'_>) -> Result<(), Refusal> {
@@ -139,10 +140,10 @@
         return Err(Refusal::BadRequest);
     }
     let size: usize = req.headers().iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
-    if size + req.target().len() > HEADERS_LIMIT { Err(Refusal::HeadersTooLarge) } else { Ok(()) }
+    if size + req.target().len() > MAX_HEADER_BYTES { Err(Refusal::HeadersTooLarge) } else { Ok(()) }
 }
 
-fn ticket(req: &Request, class: &Class) -> Result<Option<Ticket>, Refusal> {
+fn parse_ticket(req: &Request, class: &Class) -> Result<Option<Ticket>, Refusal> {
     if class.idempotent {
         return Ok(None);
     }
@@ -150,21 +151,21 @@
     text.parse().map(Some).map_err(|_| Refusal::BadRequest)
 }
 
-/// The class's lateness; a caller may shorten it, never lengthen it.
-fn lateness(req: &Request, class: &Class) -> Result<Duration, Refusal> {
+/// The time limit of a request: that of its class, which a header may shorten but not extend.
+fn time_limit(req: &Request, class: &Class) -> Result<Duration, Refusal> {
     let Some(text) = req.header("Jayreach-Timeout-Ms") else { return Ok(class.lateness) };
     let millis = text.parse().map_err(|_| Refusal::BadRequest)?;
     Ok(class.lateness.min(Duration::from_millis(millis)))
 }
 
-fn passed_on(req: &Request, public: bool) -> Vec<Header> {
+fn forwarded_headers(req: &Request, public: bool) -> Vec<Header> {
     let mut headers = Vec::new();
     for (name, value) in req.headers() {
         let (name, Ok(value)) = (name.as_str(), value.to_str()) else { continue };
-        let ours = name.starts_with("jayreach-");
-        // The token is between the caller and us.
-        let secret = !public && name == "authorization";
-        if !is_hop_header(name) && !ours && !secret {
+        let own = name.starts_with("jayreach-");
+        // The token authenticates the caller to this daemon and must not reach the endpoint.
+        let is_credential = !public && name == "authorization";
+        if !is_hop_header(name) && !own && !is_credential {
             headers.push(Header { name: name.into(), value: value.into() });
         }
     }
@@ -175,75 +176,75 @@
     HOP_HEADERS.iter().any(|it| name.eq_ignore_ascii_case(it))
 }
 
-fn run(daemon: &Arc<Daemon>, config: &Config, req: Request, prepared: Prepared) {
-    let Prepared { path, deadline, ticket, work } = prepared;
+fn run_request(daemon: &Arc<Daemon>, config: &Config, req: Request, prepared: PreparedRequest) {
+    let PreparedRequest { path, deadline, ticket, work } = prepared;
     let found = config.directory.route(&path).expect("the path was routed by this configuration");
     let started = Instant::now();
     let Found { service, class, .. } = found;
-    let order = RequestContext { service: &service.name, class: &class.name, importance: class.importance, deadline };
+    let request = RequestContext { service: &service.name, class: &class.name, importance: class.importance, deadline };
     let outcome = match ticket {
-        Some(ticket) => daemon.run_ticketed(order, &ticket, work),
-        None => daemon.run_idempotent(order, &work),
+        Some(ticket) => daemon.run_ticketed(request, &ticket, work),
+        None => daemon.run_idempotent(request, &work),
     };
-    count(&class.name, &outcome, started.elapsed());
-    tell(req, outcome);
+    record_metrics(&class.name, &outcome, started.elapsed());
+    respond_outcome(req, outcome);
 }
 
-fn count(class: &str, outcome: &Outcome, took: Duration) {
+fn record_metrics(class: &str, outcome: &Outcome, took: Duration) {
     let name = outcome.name();
     metrics::counter!("jayreach_requests_total", "class" => class.to_owned(), "outcome" => name).increment(1);
     metrics::histogram!("jayreach_request_seconds", "class" => class.to_owned()).record(took.as_secs_f64());
 }
 
-fn tell(req: Request, outcome: Outcome) {
+fn respond_outcome(req: Request, outcome: Outcome) {
     match outcome {
-        Outcome::Done(answer) => tell_answer(req, answer),
+        Outcome::Done(answer) => respond_done(req, answer),
         Outcome::NotRun(refusal) => refuse(req, refusal, None),
-        Outcome::Unknown(doubt @ Doubt::TicketExpired) => tell_doubt(req, 410, doubt),
-        Outcome::Unknown(doubt) => tell_doubt(req, 504, doubt),
+        Outcome::Unknown(doubt @ Doubt::TicketExpired) => respond_unknown(req, 410, doubt),
+        Outcome::Unknown(doubt) => respond_unknown(req, 504, doubt),
     }
 }
 
-fn tell_answer(req: Request, answer: Answer) {
-    let kept = answer.headers.iter().filter(|it| !is_hop_header(&it.name));
-    let mut headers: Vec<(&str, &str)> = kept.map(|it| (&*it.name, &*it.value)).collect();
+fn respond_done(req: Request, answer: Answer) {
+    let forwarded = answer.headers.iter().filter(|it| !is_hop_header(&it.name));
+    let mut headers: Vec<(&str, &str)> = forwarded.map(|it| (&*it.name, &*it.value)).collect();
     headers.retain(|it| !it.0.eq_ignore_ascii_case("jayreach-outcome"));
     headers.push(("Jayreach-Outcome", "done"));
     respond(req, answer.status, &headers, answer.body);
 }
 
-fn tell_doubt(req: Request, status: u16, doubt: Doubt) {
+fn respond_unknown(req: Request, status: u16, doubt: Doubt) {
     let message = match doubt {
         Doubt::TicketExpired => "the ticket's record is gone; it never runs again",
         Doubt::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
         _ => "the work may have run; ask again with the same ticket, or GET /.jayreach/tickets/TICKET",
     };
-    let told = Told { outcome: "unknown", reason: doubt, message };
-    let body = serde_json::to_vec(&told).expect("our own answers can be coded");
+    let reply = OutcomeBody { outcome: "unknown", reason: doubt, message };
+    let body = serde_json::to_vec(&reply).expect("a response body can be serialized");
     let headers = [("Content-Type", "application/json"), ("Jayreach-Outcome", "unknown")];
     respond(req, status, &headers, body);
 }
 
-/// Refuses a request without saying "not run" of a ticket that may have run before.
-fn refuse_truly(req: Request, refusal: Refusal, may_have_run: impl Fn(&Ticket) -> bool) {
+/// Refuses a request, or responds that its outcome is unknown if an earlier request under its ticket may have run.
+fn refuse_or_unknown(req: Request, refusal: Refusal, may_have_run: impl Fn(&Ticket) -> bool) {
     let ticket = req.header("Jayreach-Ticket").and_then(|it| it.parse::<Ticket>().ok());
     match ticket {
-        Some(ticket) if may_have_run(&ticket) => match describe(refusal).0 {
-            503 => tell_doubt(req, 504, Doubt::TicketUsed),
-            status => tell_doubt(req, status, Doubt::TicketUsed),
+        Some(ticket) if may_have_run(&ticket) => match status_and_message(refusal).0 {
+            503 => respond_unknown(req, 504, Doubt::TicketUsed),
+            status => respond_unknown(req, status, Doubt::TicketUsed),
         },
         _ => refuse(req, refusal, None),
     }
 }
 
 fn refuse(req: Request, refusal: Refusal, ticket: Option<Ticket>) {
-    let (status, message) = describe(refusal);
-    let told = Told { outcome: "not-run", reason: refusal, message };
-    let body = serde_json::to_vec(&told).expect("our own answers can be coded");
+    let (status, message) = status_and_message(refusal);
+    let reply = OutcomeBody { outcome: "not-run", reason: refusal, message };
+    let body = serde_json::to_vec(&reply).expect("a response body can be serialized");
     let ticket = ticket.map(|it| it.to_string());
     let mut headers = vec![("Content-Type", "application/json"), ("Jayreach-Outcome", "not-run")];
     if status == 503 {
-        headers.push(("Retry-After", RETRY_AFTER));
+        headers.push(("Retry-After", RETRY_AFTER_SECONDS));
     }
     if let Some(ticket) = &ticket {
         headers.push(("Jayreach-Ticket", ticket));
@@ -251,8 +252,8 @@
     respond(req, status, &headers, body);
 }
 
-/// The status and the message of a refusal.
-fn describe(refusal: Refusal) -> (u16, &'static str) {
+/// The HTTP status and the message of a refusal.
+fn status_and_message(refusal: Refusal) -> (u16, &'static str) {
     match refusal {
         Refusal::BadRequest => (400, "the request or its ticket is malformed"),
         Refusal::UnknownAccount => (401, "no account has this bearer token"),
@@ -274,28 +275,28 @@
     }
 }
 
-/// Answers the system's own paths.
-fn answer_own(daemon: &Arc<Daemon>, req: Request) {
+/// Handles the daemon's own paths, which begin with `/.jayreach/`.
+fn handle_own_path(daemon: &Arc<Daemon>, req: Request) {
     let target: Box<str> = req.target().into();
     let path = path(&target);
     let is_post = req.method() == Method::POST;
     if path == TICKETS_PATH && is_post {
-        return issue(daemon, req, &target);
+        return issue_tickets(daemon, req, &target);
     }
-    let named = path.strip_prefix(TICKETS_PATH).and_then(|it| it.strip_prefix('/'));
-    match named.map(str::parse::<Ticket>) {
-        Some(Ok(ticket)) if !is_post => tell_ticket(daemon, req, &ticket),
+    let ticket_text = path.strip_prefix(TICKETS_PATH).and_then(|it| it.strip_prefix('/'));
+    match ticket_text.map(str::parse::<Ticket>) {
+        Some(Ok(ticket)) if !is_post => respond_ticket_state(daemon, req, &ticket),
         Some(Err(_)) => refuse(req, Refusal::BadRequest, None),
         Some(Ok(_)) | None => refuse(req, Refusal::NoRoute, None),
     }
 }
 
-fn issue(daemon: &Daemon, req: Request, target: &str) {
+fn issue_tickets(daemon: &Daemon, req: Request, target: &str) {
     if daemon.is_leaving() {
         return refuse(req, Refusal::ShuttingDown, None);
     }
     let count = query(target, "count").map_or(Some(1), |it| it.parse().ok());
-    match count.filter(|it| (1..=TICKETS_LIMIT).contains(it)) {
+    match count.filter(|it| (1..=MAX_TICKETS_PER_CALL).contains(it)) {
         Some(count) => {
             let tickets: Vec<_> = daemon.tickets.issue(count).iter().map(Ticket::to_string).collect();
             respond_json(req, 200, &tickets);
@@ -304,9 +305,9 @@
     }
 }
 
-fn tell_ticket(daemon: &Daemon, req: Request, ticket: &Ticket) {
-    let known = daemon.ticket_status(ticket);
-    let (state, status) = match &known {
+fn respond_ticket_state(daemon: &Daemon, req: Request, ticket: &Ticket) {
+    let ticket_status = daemon.ticket_status(ticket);
+    let (state, status) = match &ticket_status {
         Some(TicketStatus::Fresh) => ("fresh", None),
         Some(TicketStatus::Running) => ("running", None),
         Some(TicketStatus::Ended(Outcome::Done(it))) => ("done", Some(it.status)),
@@ -314,5 +315,5 @@
         Some(TicketStatus::Ended(Outcome::Unknown(_)) | TicketStatus::NoRecord) | None => ("unknown", None),
         Some(TicketStatus::Expired) => ("expired", None),
     };
-    respond_json(req, 200, &TicketTold { ticket: ticket.to_string(), state, status });
+    respond_json(req, 200, &TicketBody { ticket: ticket.to_string(), state, status });
 }
--- a/src/daemon/http_server.rs
+++ b/src/daemon/http_server.rs
@@ -1,7 +1,7 @@
-//! What the three listeners share: sockets, requests, answers.
+//! The HTTP server of the three listeners.
 //!
-//! `hyper` serves, in one thread a listener, and passes whole requests on to the daemon's own
-//! threads. Why not `tiny_http`: see CONTRIBUTING.md.
+//! Each listener runs `hyper` on one thread, which reads requests completely and passes them to the daemon's thread
+//! pools.
 
 use std::{
     io,
@@ -28,39 +28,39 @@
 
 use crate::error::Error;
 
-/// The longest body of a request or an answer, in bytes.
-pub(crate) const BODY_LIMIT: usize = 1 << 20;
-/// How many bytes of a request's head are taken in at most.
-const HEAD_LIMIT: usize = 64 * 1024;
-/// How long a request's head may take to arrive, the wait for it included.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a whole body may take to arrive.
+/// The largest body of a request or a response, in bytes.
+pub(crate) const MAX_BODY_BYTES: usize = 1 << 20;
+/// The size of the read buffer, which limits a request's header section, in bytes.
+const MAX_HEADER_SECTION_BYTES: usize = 64 * 1024;
+/// How long a connection may take to send a header section, the idle time before it included.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a body may take to arrive completely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long written bytes may go unacknowledged before the connection is dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection may be idle before the other side is probed.
-const KEEPALIVE: Duration = Duration::from_secs(30);
-/// How many connections a listener has open at most; more wait to be accepted.
-const CONNECTIONS: usize = 4096;
-/// How many connections may wait to be accepted.
-const BACKLOG: i32 = 1024;
-/// The pause after `accept` failed, for instance for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-
-/// Why a body is not there.
+/// How long a connection may be idle before TCP keepalive probes start.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
+/// The most open connections of a listener; more wait to be accepted.
+const MAX_CONNECTIONS: usize = 4096;
+/// The most connections that wait to be accepted.
+const ACCEPT_BACKLOG: i32 = 1024;
+/// The pause after `accept` failed, for instance because no file descriptor was free.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// Why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BodyError {
-    /// It is longer than `BODY_LIMIT`.
+    /// It is longer than `MAX_BODY_BYTES`.
     TooLarge,
-    /// It ended early, came too slowly or was malformed.
-    Broken,
+    /// It was incomplete, too slow or malformed.
+    Unreadable,
 }
 
-/// A request, to be answered once with [`respond`]. One that is dropped closes its connection.
+/// A request, to be answered once with [`respond`]. Dropping it closes its connection.
 pub(crate) struct Request {
     head: Parts,
     body: Result<Bytes, BodyError>,
-    reply: oneshot::Sender<Response<Full<Bytes>>>,
+    response_tx: oneshot::Sender<Response<Full<Bytes>>>,
 }
 
 impl Request {
@@ -68,7 +68,7 @@
         &self.head.method
     }
 
-    /// Path and query.
+    /// The path and the query.
     pub(crate) fn target(&self) -> &str {
         self.head.uri.path_and_query().map_or("/", |it| it.as_str())
     }
@@ -77,7 +77,7 @@
         &self.head.headers
     }
 
-    /// The value of a header, if it is text.
+    /// The value of a header, if present and visible ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
@@ -95,104 +95,104 @@
 impl Listener {
     /// Listens on `address`.
     pub(crate) fn open(address: SocketAddr) -> Result<Self, Error> {
-        let socket = open(address).map_err(|it| Error::io(format!("listening on {address}"), it))?;
+        let socket = open_socket(address).map_err(|it| Error::io(format!("listening on {address}"), it))?;
         Ok(Self { socket: socket.into() })
     }
 
-    /// Passes whole requests to `accept`, which must not wait, for ever.
+    /// Passes each request to `accept`, which must not block. Returns only on an error of the runtime or the socket.
     pub(crate) fn serve(self, accept: impl Fn(Request) + Send + Sync + 'static) -> io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(serve(self.socket, Arc::new(accept)))
     }
 }
 
-fn open(address: SocketAddr) -> io::Result<Socket> {
+fn open_socket(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    // Accepted sockets take these over.
+    // Accepted sockets inherit these options.
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(WRITE_TIMEOUT))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE))?;
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE_IDLE))?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket)
 }
 
 async fn serve(socket: TcpListener, accept: Arc<impl Fn(Request) + Send + Sync + 'static>) -> io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(socket)?;
-    let free = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let permit = Arc::clone(&free).acquire_owned().await.map_err(io::Error::other)?;
+        let permit = Arc::clone(&permits).acquire_owned().await.map_err(io::Error::other)?;
         match listener.accept().await {
-            Ok((stream, _)) => _ = tokio::spawn(connection(stream, Arc::clone(&accept), permit)),
+            Ok((stream, _)) => _ = tokio::spawn(serve_connection(stream, Arc::clone(&accept), permit)),
             Err(error) => {
                 log::debug!("accepting a connection: {error}");
                 metrics::counter!("jayreach_accepts_failed_total").increment(1);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     accept: Arc<impl Fn(Request) + Send + Sync + 'static>,
     permit: OwnedSemaphorePermit,
 ) {
-    let service = service_fn(|req| answer(req, Arc::clone(&accept)));
+    let service = service_fn(|req| handle_request(req, Arc::clone(&accept)));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
+        .header_read_timeout(HEADER_TIMEOUT)
+        .max_buf_size(MAX_HEADER_SECTION_BYTES)
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("a connection ended: {error}");
+        log::debug!("connection closed with an error: {error}");
         metrics::counter!("jayreach_connections_broken_total").increment(1);
     }
     drop(permit);
 }
 
-/// Takes the body in, passes the request on, and waits for its answer.
-async fn answer(
+/// Reads the body, passes the request to `accept`, and waits for the response.
+async fn handle_request(
     req: hyper::Request<Incoming>,
     accept: Arc<impl Fn(Request)>,
 ) -> Result<Response<Full<Bytes>>, oneshot::error::RecvError> {
     let (head, body) = req.into_parts();
-    let body = take_body(body).await;
-    let (reply, answered) = oneshot::channel();
-    accept(Request { head, body, reply });
-    answered.await
+    let body = read_body(body).await;
+    let (response_tx, response_rx) = oneshot::channel();
+    accept(Request { head, body, response_tx });
+    response_rx.await
 }
 
-async fn take_body(body: Incoming) -> Result<Bytes, BodyError> {
-    match timeout(BODY_TIMEOUT, Limited::new(body, BODY_LIMIT).collect()).await {
+async fn read_body(body: Incoming) -> Result<Bytes, BodyError> {
+    match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(it)) => Ok(it.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
-        Ok(Err(_)) | Err(_) => Err(BodyError::Broken),
+        Ok(Err(_)) | Err(_) => Err(BodyError::Unreadable),
     }
 }
 
-/// Answers a request; a caller that is gone is its own matter.
+/// Sends the response to a request. A response to a caller that has disconnected is dropped and counted.
 pub(crate) fn respond(req: Request, status: u16, headers: &[(&str, &str)], body: Vec<u8>) {
     let mut resp = Response::builder().status(status);
     for (name, value) in headers {
         resp = resp.header(*name, *value);
     }
     let Ok(resp) = resp.body(Full::new(Bytes::from(body))) else {
-        log::warn!("an answer with status {status} can't be written");
+        log::warn!("response with status {status} has an invalid status or header; the connection is closed");
         return;
     };
-    if req.reply.send(resp).is_err() {
+    if req.response_tx.send(resp).is_err() {
         metrics::counter!("jayreach_answers_lost_total").increment(1);
     }
 }
 
-/// Answers with JSON.
+/// Sends a response with a JSON body.
 pub(crate) fn respond_json<T: serde::Serialize>(req: Request, status: u16, value: &T) {
-    let body = serde_json::to_vec(value).expect("answers can be coded");
+    let body = serde_json::to_vec(value).expect("a response body can be serialized");
     respond(req, status, &[("Content-Type", "application/json")], body);
 }
 
@@ -201,7 +201,7 @@
     target.split(['?', '#']).next().unwrap_or(target)
 }
 
-/// The value of a key in a request's query.
+/// The value of a key in the query of a request's target.
 pub(crate) fn query<'a>(target: &'a str, key: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     let pairs = query.split('&').filter_map(|it| it.split_once('='));
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -1,4 +1,5 @@
-//! The local listener: endpoints announce themselves, operators look and steer.
+//! The local listener, for endpoints that announce themselves and for the operator's commands: status, metrics, rollout
+//! of a configuration version, drain and tickets.
 
 use std::{sync::Arc, time::Instant};
 
@@ -18,13 +19,13 @@
     wire::InForce,
 };
 
-/// A body that is not what the path wants.
+/// The body of a 400 response.
 #[derive(Serialize)]
-struct Refused {
+struct ErrorBody {
     error: String,
 }
 
-/// A daemon's status, for operators.
+/// The response of `GET /status`.
 #[derive(Serialize)]
 struct Status<'a> {
     name: &'a str,
@@ -42,31 +43,31 @@
     services: Vec<ServiceCount>,
 }
 
-/// Where a version is in force.
+/// How many daemons have a configuration version active; the response of `GET /in-force`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// How many daemons were asked.
+    /// The number of daemons that were asked, this one included.
     pub daemons: usize,
-    /// How many have the version, or a later one, in force.
+    /// The number of them with this or a later version active.
     #[serde(rename = "in_force")]
     pub active: usize,
-    /// The daemons that have an earlier one.
+    /// The daemons with an earlier version, or none.
     #[serde(rename = "behind")]
     pub outdated: Vec<Box<str>>,
-    /// The daemons that did not answer.
+    /// The daemons that did not respond.
     #[serde(rename = "silent")]
     pub unreachable: Vec<Box<str>>,
 }
 
-/// Takes a request of an endpoint or an operator.
+/// Passes a request to the control thread pool, or refuses it if that is full.
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
     let cx = Arc::clone(daemon);
-    if let Some(req) = daemon.pools.control.answer(req, 1.0, move |req| answer(&cx, req)) {
+    if let Some(req) = daemon.pools.control.handle(req, 1.0, move |req| handle_request(&cx, req)) {
         respond(req, 503, &[("Retry-After", "1")], Vec::new());
     }
 }
 
-fn answer(daemon: &Arc<Daemon>, req: Request) {
+fn handle_request(daemon: &Arc<Daemon>, req: Request) {
     let target: Box<str> = req.target().into();
     match (req.method().clone(), path(&target)) {
         (Method::POST, "/announce") => announce(daemon, req),
@@ -75,7 +76,7 @@
             let text = daemon.metrics.render().into_bytes();
             respond(req, 200, &[("Content-Type", "text/plain; version=0.0.4")], text);
         }
-        (Method::GET, "/in-force") => in_force(daemon, req, &target),
+        (Method::GET, "/in-force") => rollout_status(daemon, req, &target),
         (Method::POST, "/drain") => drain(daemon, req),
         (Method::POST, "/tickets") => {
             let ticket = daemon.tickets.issue(1).remove(0);
@@ -101,7 +102,7 @@
 }
 
 fn refuse(req: Request, error: String) {
-    respond_json(req, 400, &Refused { error });
+    respond_json(req, 400, &ErrorBody { error });
 }
 
 fn status(daemon: &Daemon, req: Request) {
@@ -127,26 +128,26 @@
     respond_json(req, 200, &status);
 }
 
-/// Asks every daemon which version it has in force.
-fn in_force(daemon: &Daemon, req: Request, target: &str) {
+/// Asks each daemon that isn't leaving which version it has active.
+fn rollout_status(daemon: &Daemon, req: Request, target: &str) {
     let Some(version) = super::http_server::query(target, "version").and_then(|it| it.parse().ok()) else {
         return refuse(req, "`version` must be a number".into());
     };
     let peers: Vec<_> = lock(&daemon.table).live().filter(|it| !it.leaving).cloned().collect();
-    let mut count =
+    let mut rollout =
         RolloutStatus { daemons: peers.len() + 1, active: 0, outdated: Vec::new(), unreachable: Vec::new() };
-    count.add(&daemon.settings.name, Some(daemon.config.version()), version);
+    rollout.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
-        let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::New, CONTROL_TIMEOUT);
-        let has = answer.ok().map(|it: InForce| it.version);
-        count.add(&row.daemon, has, version);
+        let reply = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::New, CONTROL_TIMEOUT);
+        let active_version = reply.ok().map(|it: InForce| it.version);
+        rollout.add(&row.daemon, active_version, version);
     }
-    respond_json(req, 200, &count);
+    respond_json(req, 200, &rollout);
 }
 
 impl RolloutStatus {
-    fn add(&mut self, daemon: &str, has: Option<u64>, version: u64) {
-        match has {
+    fn add(&mut self, daemon: &str, active_version: Option<u64>, version: u64) {
+        match active_version {
             Some(it) if it >= version => self.active += 1,
             Some(_) => self.outdated.push(daemon.into()),
             None => self.unreachable.push(daemon.into()),
@@ -154,11 +155,11 @@
     }
 }
 
-/// Stops the daemon as SIGTERM does.
+/// Shuts the daemon down as SIGTERM does.
 fn drain(daemon: &Daemon, req: Request) {
-    log::info!(daemon = &*daemon.settings.name; "told to drain");
+    log::info!(daemon = &*daemon.settings.name; "drain requested");
     respond(req, 202, &[], Vec::new());
     if let Err(error) = signal_hook::low_level::raise(signal_hook::consts::SIGTERM) {
-        log::error!("the stop signal could not be raised: {error}");
+        log::error!("raising SIGTERM: {error}");
     }
 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons, and the listener that answers theirs.
+//! Calls to other daemons, and the listener that handles theirs.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,47 +23,47 @@
     },
 };
 
-/// Tells the importance of work before its body is read.
+/// The header with the importance of a call, so that the thread pool can be chosen before the message is decoded.
 const IMPORTANCE_HEADER: &str = "Jayreach-Importance";
-/// How long a call that does no work may take.
+/// The time limit of a call that runs no caller's request.
 pub(crate) const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an asked helper waits for the daemon it probes.
+/// How long a daemon that probes another one for a peer waits for its response.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How many bytes of parts one answer holds, unless a single part is larger.
-const PARTS_LIMIT: usize = 512 * 1024;
+/// The most bytes of configuration parts in one reply, unless a single part is larger.
+const MAX_PARTS_BYTES: usize = 512 * 1024;
 
-/// What a peer can be called for.
+/// The calls between daemons, each with its message and its reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum PeerCall {
-    /// `Dispatch` to `DispatchReply`.
+    /// Message `Dispatch`, reply `DispatchReply`.
     Dispatch,
-    /// `Forward` to `Outcome`.
+    /// Message `Forward`, reply `Outcome`.
     Forward,
-    /// `Revoke` to `RevokeReply`.
+    /// Message `Revoke`, reply `RevokeReply`.
     Revoke,
-    /// `TicketQuery` to `TicketStatus`, from the home.
+    /// Message `TicketQuery`, reply `TicketStatus` by the ticket's home.
     Ticket,
-    /// `TicketQuery` to `TicketStatus`, from a guard's ledger.
+    /// Message `TicketQuery`, reply `TicketStatus` by a guard's ledger.
     Ledger,
-    /// `Compare` to `Compared`.
+    /// Message `Compare`, reply `Compared`.
     Compare,
-    /// `Deliver` to `Delivered`.
+    /// Message `Deliver`, reply `Delivered`.
     Deliver,
-    /// `Push` to nothing.
+    /// Message `Push`, empty reply.
     Push,
-    /// `Probe` to `ProbeReply`.
+    /// Message `Probe`, reply `ProbeReply`.
     Probe,
-    /// Nothing to the coded root.
+    /// Empty message; the reply is the encoded root of the configuration.
     Root,
-    /// `PartsRequest` to `PartsReply`.
+    /// Message `PartsRequest`, reply `PartsReply`.
     Parts,
-    /// Nothing to `InForce`.
+    /// Empty message, reply `InForce`.
     InForce,
 }
 
-const CALLS: [(PeerCall, &str); 12] = [
+const CALL_PATHS: [(PeerCall, &str); 12] = [
     (PeerCall::Dispatch, "/peer/dispatch"),
     (PeerCall::Forward, "/peer/forward"),
     (PeerCall::Revoke, "/peer/revoke"),
@@ -80,45 +80,45 @@
 
 impl PeerCall {
     fn path(self) -> &'static str {
-        let found = CALLS.iter().find(|it| it.0 == self);
+        let found = CALL_PATHS.iter().find(|it| it.0 == self);
         found.expect("every call has a path").1
     }
 
     fn from_path(path: &str) -> Option<Self> {
-        CALLS.iter().find(|it| it.1 == path).map(|it| it.0)
+        CALL_PATHS.iter().find(|it| it.1 == path).map(|it| it.0)
     }
 
-    /// Whether it does callers' work, which must not take the threads that control needs.
-    fn is_callers_work(self) -> bool {
+    /// Whether it serves a caller's request. Such calls have their own threads, so that they can't delay control calls.
+    fn serves_request(self) -> bool {
         matches!(self, Self::Dispatch | Self::Forward | Self::Revoke)
     }
 }
 
-/// Asks a daemon to see whether another one answers.
+/// Asks a daemon to probe another one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Probe {
     pub(crate) address: SocketAddr,
 }
 
-/// Whether the probed daemon answered.
+/// Whether the probed daemon responded.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct ProbeReply {
     pub(crate) answered: bool,
 }
 
-/// Asks for parts of the configuration.
+/// Requests parts of the configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct PartsRequest {
     pub(crate) parts: Vec<PartRef>,
 }
 
-/// The first few of the parts that were asked for, in order.
+/// The first of the requested parts, in their order; at least one unless the daemon has none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct PartsReply {
     pub(crate) parts: Vec<ByteBuf>,
 }
 
-/// Calls to other daemons.
+/// The client for calls to other daemons.
 pub(crate) struct PeerClient {
     client: Arc<Client>,
     key: Box<str>,
@@ -129,7 +129,7 @@
         Self { client, key }
     }
 
-    /// Calls a peer. An answer that cannot be understood counts as lost.
+    /// Calls a peer. A reply that can't be decoded counts as lost.
     pub(crate) fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -142,7 +142,7 @@
         decode(&bytes).map_err(|_| Silence::Lost)
     }
 
-    /// Sends a dispatch.
+    /// Sends a dispatch to a guard.
     pub(crate) fn dispatch(
         &self,
         address: SocketAddr,
@@ -155,7 +155,7 @@
         decode(&bytes).map_err(|_| Silence::Lost)
     }
 
-    /// Sends work to its ticket's home.
+    /// Sends a ticketed request to its ticket's home.
     pub(crate) fn forward(
         &self,
         address: SocketAddr,
@@ -167,7 +167,7 @@
         decode(&bytes).map_err(|_| Silence::Lost)
     }
 
-    /// Sends a coded message and returns the coded answer.
+    /// Sends an encoded message and returns the encoded reply.
     pub(crate) fn send(
         &self,
         address: SocketAddr,
@@ -184,17 +184,17 @@
             .header(IMPORTANCE_HEADER, u16::from(importance))
             .body(body)
             .map_err(|_| Silence::Refused)?;
-        let reply = self.client.call(req, connection, timeout)?;
-        match reply.status {
-            200 => Ok(reply.body),
-            // The peer refused before it looked into the message.
+        let resp = self.client.call(req, connection, timeout)?;
+        match resp.status {
+            200 => Ok(resp.body),
+            // The peer refused before it decoded the message.
             403 | 503 => Err(Silence::Refused),
             _ => Err(Silence::Lost),
         }
     }
 }
 
-/// Takes a peer's call, if the key fits, and gives it to the pool it belongs to.
+/// Checks the peer key of a call and passes the call to its thread pool.
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
     if !has_peer_key(&req, &daemon.settings.peer_key) {
         metrics::counter!("jayreach_peer_refusals_total").increment(1);
@@ -204,13 +204,13 @@
         return respond(req, 404, &[], Vec::new());
     };
     let importance = req.header(IMPORTANCE_HEADER).and_then(|it| it.parse().ok()).unwrap_or(0);
-    let (pool, share) = if call.is_callers_work() {
+    let (pool, share) = if call.serves_request() {
         (&daemon.pools.work, daemon.pool_share(importance))
     } else {
         (&daemon.pools.control, 1.0)
     };
     let cx = Arc::clone(daemon);
-    if let Some(req) = pool.answer(req, share, move |req| answer(&cx, call, req)) {
+    if let Some(req) = pool.handle(req, share, move |req| handle_request(&cx, call, req)) {
         respond(req, 503, &[], Vec::new());
     }
 }
@@ -220,16 +220,17 @@
     given.as_bytes().ct_eq(key.as_bytes()).into()
 }
 
-fn answer(daemon: &Arc<Daemon>, call: PeerCall, req: Request) {
-    let answer = req.body().ok().and_then(|body| handle(daemon, call, body));
-    match answer {
+fn handle_request(daemon: &Arc<Daemon>, call: PeerCall, req: Request) {
+    let reply = req.body().ok().and_then(|body| handle_call(daemon, call, body));
+    match reply {
         Some(bytes) => respond(req, 200, &[], bytes),
         None => respond(req, 400, &[], Vec::new()),
     }
 }
 
-/// The coded answer to a coded message; `None` if the message makes no sense.
-fn handle(daemon: &Arc<Daemon>, call: PeerCall, body: &[u8]) -> Option<Vec<u8>> {
+/// Handles an encoded message and returns the encoded reply; `None` if the message can't be decoded or nothing can be
+/// replied yet.
+fn handle_call(daemon: &Arc<Daemon>, call: PeerCall, body: &[u8]) -> Option<Vec<u8>> {
     match call {
         PeerCall::Dispatch => {
             let it: Dispatch = decode(body).ok()?;
@@ -277,22 +278,23 @@
     }
 }
 
-/// As many of the wanted parts as fit into one answer, but one at least.
-fn collect_parts(config: &Config, want: &PartsRequest) -> PartsReply {
-    let mut got = PartsReply { parts: Vec::new() };
+/// The requested parts in their order up to the first one that is missing or exceeds `MAX_PARTS_BYTES`; a first part is
+/// returned whatever its size.
+fn collect_parts(config: &Config, request: &PartsRequest) -> PartsReply {
+    let mut reply = PartsReply { parts: Vec::new() };
     let mut size = 0;
-    for it in &want.parts {
+    for it in &request.parts {
         let Some(part) = config.part(&it.0) else { break };
         size += part.len();
-        if size > PARTS_LIMIT && !got.parts.is_empty() {
+        if size > MAX_PARTS_BYTES && !reply.parts.is_empty() {
             break;
         }
-        got.parts.push(ByteBuf::from(part.to_vec()));
+        reply.parts.push(ByteBuf::from(part.to_vec()));
     }
-    got
+    reply
 }
 
-/// A daemon's address in the table.
+/// The address of a daemon for calls from peers, if the daemon is in the table.
 pub(crate) fn peer_address(daemon: &Daemon, id: &DaemonId) -> Option<SocketAddr> {
     let table = crate::util::lock(&daemon.table);
     table.get(id).map(|it| it.peers)
--- a/src/daemon/thread_pool.rs
+++ b/src/daemon/thread_pool.rs
@@ -1,4 +1,5 @@
-//! A pool of threads that grows on demand, up to a limit that depends on how much the work matters.
+//! A thread pool that grows on demand. Less important jobs may fill only a share of it, so that threads stay free
+//! for important ones.
 
 use std::{
     sync::{
@@ -13,15 +14,15 @@
 
 use crate::{daemon::http_server::Request, util::lock};
 
-/// A piece of work.
+/// A job for a thread of the pool.
 pub(crate) type Job = Box<dyn FnOnce() + Send>;
 
-/// How long an idle thread waits for its next job.
-const IDLE: Duration = Duration::from_secs(10);
-/// The size of a thread's stack, in bytes; only what is touched counts as memory.
-const STACK: usize = 512 * 1024;
+/// How long an idle thread waits for its next job before it ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The stack size of a thread.
+const STACK_BYTES: usize = 512 * 1024;
 
-/// A pool of threads.
+/// A pool of up to `limit` threads.
 #[derive(Clone)]
 pub(crate) struct ThreadPool {
     name: &'static str,
@@ -32,78 +33,79 @@
 }
 
 impl ThreadPool {
-    /// A pool of `limit` threads at most.
+    /// An empty pool of at most `limit` threads, which are called `name`.
     pub(crate) fn new(name: &'static str, limit: usize) -> Self {
-        // Without a buffer, a send succeeds only if a thread is waiting.
+        // Without a buffer, a send succeeds only if an idle thread is waiting.
         let (tx, rx) = bounded(0);
         Self { name, limit, threads: Arc::default(), tx, rx }
     }
 
-    /// Runs a job, unless more than `share` of the pool would be in use; then the job comes back.
-    pub(crate) fn run(&self, job: Job, share: f64) -> Result<(), Job> {
+    /// Runs a job on an idle or a new thread. Returns the job if no thread is idle and `max_share` of the limit is
+    /// reached.
+    pub(crate) fn run(&self, job: Job, max_share: f64) -> Result<(), Job> {
         let job = match self.tx.try_send(job) {
             Ok(()) => return Ok(()),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => job,
         };
-        let limit = (self.limit as f64 * share).ceil() as usize;
-        let reserved =
+        let limit = (self.limit as f64 * max_share).ceil() as usize;
+        let may_spawn =
             self.threads.fetch_update(Ordering::AcqRel, Ordering::Acquire, |it| (it < limit).then_some(it + 1)).is_ok();
-        if !reserved {
+        if !may_spawn {
             return Err(job);
         }
         self.spawn(job);
         Ok(())
     }
 
-    /// Answers a request in the pool; the request comes back if there is no room.
-    pub(crate) fn answer(
+    /// Handles a request on a thread of the pool. Returns the request if no thread is available.
+    pub(crate) fn handle(
         &self,
         req: Request,
-        share: f64,
-        answer: impl FnOnce(Request) + Send + 'static,
+        max_share: f64,
+        handler: impl FnOnce(Request) + Send + 'static,
     ) -> Option<Request> {
-        let slot = Arc::new(Mutex::new(Some(req)));
-        let taken = Arc::clone(&slot);
+        let request_slot = Arc::new(Mutex::new(Some(req)));
+        let job_slot = Arc::clone(&request_slot);
         let job = Box::new(move || {
-            if let Some(req) = lock(&taken).take() {
-                answer(req);
+            if let Some(req) = lock(&job_slot).take() {
+                handler(req);
             }
         });
-        if self.run(job, share).is_ok() {
+        if self.run(job, max_share).is_ok() {
             return None;
         }
         metrics::counter!("jayreach_pool_refusals_total").increment(1);
-        lock(&slot).take()
+        lock(&request_slot).take()
     }
 
     fn spawn(&self, first: Job) {
         let rx = self.rx.clone();
         let threads = Arc::clone(&self.threads);
         let work = move || {
-            let _count = Count(threads);
+            let _count = ThreadCount(threads);
             first();
-            while let Ok(job) = rx.recv_timeout(IDLE) {
+            while let Ok(job) = rx.recv_timeout(IDLE_TIMEOUT) {
                 job();
             }
         };
-        let builder = thread::Builder::new().name(self.name.into()).stack_size(STACK);
+        let builder = thread::Builder::new().name(self.name.into()).stack_size(STACK_BYTES);
         if let Err(error) = builder.spawn(work) {
-            // The job is lost with the closure; its request closes the connection on being dropped.
-            log::error!("no thread for {}: {error}", self.name);
+            // The job is dropped with the closure; a request in it closes its connection when it is dropped.
+            log::error!("starting a thread of the {} pool: {error}", self.name);
             self.threads.fetch_sub(1, Ordering::AcqRel);
         }
     }
 
-    /// How many threads there are.
+    /// The current number of threads.
     pub(crate) fn threads(&self) -> usize {
         self.threads.load(Ordering::Acquire)
     }
 }
 
-/// Counts a thread out, also when its job panics.
-struct Count(Arc<AtomicUsize>);
+/// Subtracts a thread from the count on drop, also when its job panics.
+struct ThreadCount(Arc<AtomicUsize>);
 
-impl Drop for Count {
+impl Drop for ThreadCount {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
