--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -40,7 +40,7 @@
 const REPLY_MARGIN: Duration = Duration::from_millis(250);
 /// The pause before a failed revoke is sent again.
 const REVOKE_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// How long a peer may take to report the state of a ticket.
+/// How long a peer may take to report the state of a ticket or of an attempt.
 const TICKET_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 thread_local! {
