--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -1,4 +1,5 @@
-//! The guard: the only way to the endpoints that announce to this daemon.
+//! The guard of the endpoints that announce themselves to this daemon. Every request to them passes through it, so that
+//! it can limit concurrency, run a ticketed request at most once, and eject endpoints that fail.
 
 use std::{
     sync::{
@@ -24,64 +25,65 @@
     wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
 };
 
-/// After so long a silence an endpoint gets no new work (issue 3, towards endpoints).
-const SILENCE: Duration = Duration::from_secs(3);
-/// How long the row of an endpoint that is gone is kept.
-const FORGET_GONE: Duration = Duration::from_secs(30);
-/// With less than this left, work is not sent any more.
-const LEAST_BUDGET: Duration = Duration::from_millis(1);
+/// Time without an announcement after which an endpoint gets no new requests.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an endpoint that is gone stays listed after its last announcement.
+const GONE_RETENTION: Duration = Duration::from_secs(30);
+/// A request with less time left than this is not sent to the endpoint.
+const MIN_BUDGET: Duration = Duration::from_millis(1);
 
-/// What an endpoint says of itself.
+/// The body of `POST /announce`, which an endpoint sends at regular intervals.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The service it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: Box<str>,
-    /// Where its guard reaches it.
+    /// The address at which the guard sends requests to it.
     pub address: std::net::SocketAddr,
-    /// How much work it takes at once.
+    /// How many requests it runs at once; 1 or more.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: AnnouncedState,
-    /// Its own report of its load; a hint only.
+    /// The load that it reports. The guard doesn't use it.
     #[serde(default)]
     pub load: u32,
 }
 
-/// Whether an endpoint takes work, in its own words.
+/// Whether an endpoint accepts requests, as it announces itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnnouncedState {
-    /// Not yet.
+    /// It doesn't accept requests yet.
     Starting,
-    /// Yes.
+    /// It accepts requests.
     Serving,
-    /// Not any more.
+    /// It accepts no new requests.
     Leaving,
 }
 
-/// What a service weighs and how its other endpoints fare.
+/// What the decision to eject an endpoint takes from its service.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Measure {
+pub(crate) struct EjectionContext {
+    /// The median failure rate of the service's other endpoints.
     pub(crate) baseline: f64,
     pub(crate) weighs: EjectionPreference,
 }
 
-/// What a guard asks of its daemon while it runs a dispatch.
-pub(crate) struct Hooks<'a> {
-    /// What an endpoint's service weighs, and how its others fare.
-    pub(crate) measure: &'a dyn Fn(&str) -> Measure,
-    /// The endpoint's row has to be told anew.
-    pub(crate) changed: &'a dyn Fn(),
+/// Calls from the guard to its daemon while it runs a dispatch.
+pub(crate) struct ExecutionHooks<'a> {
+    /// Looks up the ejection context of an endpoint.
+    pub(crate) ejection_context: &'a dyn Fn(&str) -> EjectionContext,
+    /// Called when the endpoint's row has changed enough to be gossiped.
+    pub(crate) row_changed: &'a dyn Fn(),
 }
 
 struct Endpoint {
     id: EndpointId,
     service: Box<str>,
     slots: u16,
-    last_heard: Instant,
-    standing: EndpointHealth,
-    gate: AdmissionController,
+    last_announced: Instant,
+    health: EndpointHealth,
+    admission: AdmissionController,
     waiters: Vec<(WaiterId, Sender<AdmissionDecision>)>,
 }
 
@@ -92,101 +94,102 @@
     ledger: DispatchLedger,
 }
 
-/// The guard's state.
-pub(crate) struct GuardDesk {
+/// The guard of the local endpoints.
+pub(crate) struct LocalGuard {
     incarnation: Incarnation,
     inner: Mutex<Inner>,
-    /// Told whenever a line of the ledger ends.
-    ended: Condvar,
+    /// Notified whenever a run in the ledger ends.
+    run_ended: Condvar,
     next_waiter: AtomicU64,
 }
 
-/// What the ledger and gates hold, for operators.
+/// The numbers of ledger entries and of running requests, for the status page.
 #[derive(Debug, Serialize)]
-pub(crate) struct GuardCount {
+pub(crate) struct LedgerCounts {
     ledger: usize,
     running: usize,
 }
 
-impl GuardDesk {
+impl LocalGuard {
     pub(crate) fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, inner: Mutex::default(), ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
+        Self { incarnation, inner: Mutex::default(), run_ended: Condvar::new(), next_waiter: AtomicU64::new(1) }
     }
 
-    /// Takes an announcement; returns whether the row changed.
-    pub(crate) fn announce(&self, it: &Announcement, now: Instant) -> bool {
+    /// Records an announcement; returns whether the row changed.
+    pub(crate) fn announce(&self, announcement: &Announcement, now: Instant) -> bool {
         let mut inner = lock(&self.inner);
-        let id: EndpointId = it.address.to_string().into();
+        let id: EndpointId = announcement.address.to_string().into();
         let at = match inner.endpoints.binary_search_by(|e| e.id.cmp(&id)) {
             Ok(at) => at,
             Err(at) => {
-                inner.endpoints.insert(at, Endpoint::new(id, it, now));
+                inner.endpoints.insert(at, Endpoint::new(id, announcement, now));
                 at
             }
         };
         let endpoint = &mut inner.endpoints[at];
-        endpoint.last_heard = now;
-        let resized = endpoint.slots != it.slots || endpoint.service != it.service;
-        endpoint.slots = it.slots;
-        endpoint.service = it.service.clone();
-        endpoint.gate.set_slots(it.slots);
-        let event = match it.state {
+        endpoint.last_announced = now;
+        let row_edited = endpoint.slots != announcement.slots || endpoint.service != announcement.service;
+        endpoint.slots = announcement.slots;
+        endpoint.service = announcement.service.clone();
+        endpoint.admission.set_slots(announcement.slots);
+        let event = match announcement.state {
             AnnouncedState::Starting => EndpointEvent::AnnouncedStarting,
             AnnouncedState::Serving => EndpointEvent::AnnouncedServing,
             AnnouncedState::Leaving => EndpointEvent::AnnouncedLeaving,
         };
-        endpoint.on(event, now) || resized
+        endpoint.handle(event, now) || row_edited
     }
 
-    /// Lets time pass; returns whether the row changed.
+    /// Updates the states that depend on time and removes endpoints that are gone; returns whether the row changed.
     pub(crate) fn tick(&self, now: Instant) -> bool {
         let mut inner = lock(&self.inner);
         let mut changed = false;
         for endpoint in &mut inner.endpoints {
-            let silent = now.saturating_duration_since(endpoint.last_heard) >= SILENCE;
-            changed |= silent && endpoint.on(EndpointEvent::Silent, now);
-            changed |= endpoint.standing.tick(now);
+            let timed_out = now.saturating_duration_since(endpoint.last_announced) >= ANNOUNCEMENT_TIMEOUT;
+            changed |= timed_out && endpoint.handle(EndpointEvent::Silent, now);
+            changed |= endpoint.health.tick(now);
         }
         let count = inner.endpoints.len();
         inner.endpoints.retain(|it| {
-            let gone = it.standing.state() == EndpointState::Gone && it.gate.running() == 0;
-            !gone || now.saturating_duration_since(it.last_heard) < FORGET_GONE
+            let gone = it.health.state() == EndpointState::Gone && it.admission.running() == 0;
+            !gone || now.saturating_duration_since(it.last_announced) < GONE_RETENTION
         });
         changed || count != inner.endpoints.len()
     }
 
-    /// The endpoints, for the row.
+    /// The endpoints as this daemon's row lists them.
     pub(crate) fn rows(&self) -> Vec<EndpointRow> {
         lock(&self.inner).endpoints.iter().map(Endpoint::row).collect()
     }
 
-    /// The endpoint's service, if it is here.
+    /// The service of an endpoint, if the endpoint is listed.
     pub(crate) fn service_of(&self, endpoint: &str) -> Option<Box<str>> {
         let inner = lock(&self.inner);
         inner.find(endpoint).map(|at| inner.endpoints[at].service.clone())
     }
 
-    /// Counts for operators.
-    pub(crate) fn count(&self) -> GuardCount {
+    /// The counts for the status page.
+    pub(crate) fn count(&self) -> LedgerCounts {
         let inner = lock(&self.inner);
-        GuardCount { ledger: inner.ledger.len(), running: inner.ledger.running() }
+        LedgerCounts { ledger: inner.ledger.len(), running: inner.ledger.running() }
     }
 
-    /// Runs a dispatch.
-    pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> DispatchReply {
-        let outcome = self.run(client, dispatch, hooks);
+    /// Runs a dispatch and adds the endpoint's load to the reply.
+    pub(crate) fn execute(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> DispatchReply {
+        let outcome = self.run_dispatch(client, dispatch, hooks);
         let inner = lock(&self.inner);
-        let gate = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].gate);
-        let (load, admits) = gate.map_or((0, 0), |it| (it.load(), it.min_importance()));
+        let admission = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].admission);
+        let (load, admits) = admission.map_or((0, 0), |it| (it.load(), it.min_importance()));
         DispatchReply { outcome, load, admits }
     }
 
-    fn run(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> Outcome {
+    /// Runs a dispatch. A ticketed one is looked up in the ledger first, so that it runs at most once.
+    fn run_dispatch(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
         }
         let Some(leg) = &dispatch.leg else {
-            return self.run_once(client, dispatch, hooks);
+            return self.run_on_endpoint(client, dispatch, hooks);
         };
         match lock(&self.inner).ledger.start_dispatch(leg) {
             DispatchDecision::Run => (),
@@ -194,14 +197,14 @@
             DispatchDecision::Ended(outcome) => return outcome,
             DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
-        let outcome = self.run_once(client, dispatch, hooks);
+        let outcome = self.run_on_endpoint(client, dispatch, hooks);
         lock(&self.inner).ledger.record_outcome(&leg.ticket, outcome.clone());
-        self.ended.notify_all();
+        self.run_ended.notify_all();
         outcome
     }
 
-    /// Admits the work, passes it to the endpoint and takes the evidence.
-    fn run_once(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> Outcome {
+    /// Waits for admission, sends the request to the endpoint and records the result as evidence about the endpoint.
+    fn run_on_endpoint(&self, client: &Client, dispatch: &Dispatch, hooks: &ExecutionHooks<'_>) -> Outcome {
         let started = Instant::now();
         let deadline = started + Duration::from_millis(dispatch.budget_ms);
         if let Err(refusal) = self.admit(dispatch, deadline) {
@@ -210,52 +213,54 @@
         }
         let admitted = Instant::now();
         let left = deadline.saturating_duration_since(admitted);
-        let (outcome, sample) = if left < LEAST_BUDGET {
+        let (outcome, sample) = if left < MIN_BUDGET {
             (Outcome::NotRun(Refusal::TooLate), None)
         } else {
             endpoint::call(client, dispatch, left)
         };
         let now = Instant::now();
-        let measure = (hooks.measure)(&dispatch.endpoint);
+        let context = (hooks.ejection_context)(&dispatch.endpoint);
         if outcome == Outcome::Unknown(Doubt::EndpointSilent) {
-            // The endpoint's slot stays in use until the cancellation has reached it.
+            // The slot is released only after the cancellation, so that the endpoint doesn't run more requests
+            // than it has slots.
             endpoint::cancel(client, dispatch);
         }
-        if self.leave(&dispatch.endpoint, now - admitted, sample, measure, now) {
-            (hooks.changed)();
+        if self.finish_request(&dispatch.endpoint, now - admitted, sample, context, now) {
+            (hooks.row_changed)();
         }
         outcome
     }
 
+    /// Waits until the request may run on its endpoint, or returns why it may not.
     fn admit(&self, dispatch: &Dispatch, deadline: Instant) -> Result<(), Refusal> {
         let id = self.next_waiter.fetch_add(1, Ordering::Relaxed);
-        let arrival = AdmissionRequest { id, importance: dispatch.importance, deadline };
+        let request = AdmissionRequest { id, importance: dispatch.importance, deadline };
         let (tx, rx) = bounded(1);
         {
             let mut inner = lock(&self.inner);
             let at = inner.find(&dispatch.endpoint).ok_or(Refusal::EndpointLeaving)?;
             let endpoint = &mut inner.endpoints[at];
-            if !endpoint.standing.accepts_work() {
+            if !endpoint.health.accepts_work() {
                 return Err(Refusal::EndpointLeaving);
             }
-            let (admission, evicted) = endpoint.gate.admit(arrival, Instant::now());
-            endpoint.release(evicted);
-            match admission {
+            let (decision, evicted) = endpoint.admission.admit(request, Instant::now());
+            endpoint.deliver_decision(evicted);
+            match decision {
                 AdmissionDecision::Admit => return Ok(()),
                 AdmissionDecision::Refuse(refusal) => return Err(refusal),
                 AdmissionDecision::Queue => endpoint.waiters.push((id, tx)),
             }
         }
-        let decided = rx.recv_deadline(deadline).ok();
-        match decided.unwrap_or_else(|| self.give_up(&dispatch.endpoint, id, &rx)) {
+        let received = rx.recv_deadline(deadline).ok();
+        match received.unwrap_or_else(|| self.cancel_waiter(&dispatch.endpoint, id, &rx)) {
             AdmissionDecision::Admit => Ok(()),
             AdmissionDecision::Refuse(refusal) => Err(refusal),
-            AdmissionDecision::Queue => unreachable!("a release never says wait"),
+            AdmissionDecision::Queue => unreachable!("a waiter is never queued again"),
         }
     }
 
-    /// The deadline came first, unless the decision was under way.
-    fn give_up(
+    /// Removes a waiter whose deadline has passed; returns its decision if one was sent meanwhile.
+    fn cancel_waiter(
         &self,
         endpoint: &str,
         id: WaiterId,
@@ -264,32 +269,39 @@
         let mut inner = lock(&self.inner);
         let Some(at) = inner.find(endpoint) else { return AdmissionDecision::Refuse(Refusal::EndpointLeaving) };
         let endpoint = &mut inner.endpoints[at];
-        if endpoint.gate.cancel(id) {
+        if endpoint.admission.cancel(id) {
             endpoint.waiters.retain(|it| it.0 != id);
             return AdmissionDecision::Refuse(Refusal::TooLate);
         }
         rx.try_recv().unwrap_or(AdmissionDecision::Refuse(Refusal::TooLate))
     }
 
-    /// Frees the slot and takes the evidence; returns whether the row changed.
-    fn leave(&self, endpoint: &str, took: Duration, sample: Option<Sample>, measure: Measure, now: Instant) -> bool {
+    /// Releases the slot and records the sample; returns whether the row has changed enough to be gossiped.
+    fn finish_request(
+        &self,
+        endpoint: &str,
+        took: Duration,
+        sample: Option<Sample>,
+        context: EjectionContext,
+        now: Instant,
+    ) -> bool {
         let mut inner = lock(&self.inner);
-        let at = inner.find(endpoint).expect("an endpoint stays while work is running there");
+        let at = inner.find(endpoint).expect("an endpoint with a running request is kept");
         let endpoint = &mut inner.endpoints[at];
         let before = endpoint.row();
-        for release in endpoint.gate.release_slot(took, now) {
-            endpoint.release(Some(release));
+        for decision in endpoint.admission.release_slot(took, now) {
+            endpoint.deliver_decision(Some(decision));
         }
         if let Some(sample) = sample {
-            let state = endpoint.standing.state();
-            if endpoint.standing.record_sample(sample, measure.baseline, measure.weighs, now) {
-                log_change(&endpoint.id, state, endpoint.standing.state());
+            let state = endpoint.health.state();
+            if endpoint.health.record_sample(sample, context.baseline, context.weighs, now) {
+                log_change(&endpoint.id, state, endpoint.health.state());
             }
         }
-        tells_more(&before, &endpoint.row())
+        is_worth_gossip(&before, &endpoint.row())
     }
 
-    /// Makes sure an attempt will not run, waiting a while for one that is running.
+    /// Revokes an attempt, so that it can't run later. If it is running, waits up to `wait_ms` for its outcome.
     pub(crate) fn revoke(&self, revoke: &Revoke) -> RevokeReply {
         if revoke.guard_incarnation != self.incarnation {
             return RevokeReply::NoMemory;
@@ -302,12 +314,12 @@
             if reply != RevokeReply::Running || left.is_zero() {
                 return reply;
             }
-            let waited = self.ended.wait_timeout(inner, left);
+            let waited = self.run_ended.wait_timeout(inner, left);
             inner = waited.unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
     }
 
-    /// What the ledger holds of a ticket.
+    /// The state of a ticket by the ledger.
     pub(crate) fn status(&self, ticket: &Ticket) -> TicketStatus {
         lock(&self.inner).ledger.status(ticket)
     }
@@ -320,14 +332,14 @@
 }
 
 impl Endpoint {
-    fn new(id: EndpointId, it: &Announcement, now: Instant) -> Self {
+    fn new(id: EndpointId, announcement: &Announcement, now: Instant) -> Self {
         Self {
             id,
-            service: it.service.clone(),
-            slots: it.slots,
-            last_heard: now,
-            standing: EndpointHealth::new(EjectionConfig::default(), now),
-            gate: AdmissionController::new(it.slots),
+            service: announcement.service.clone(),
+            slots: announcement.slots,
+            last_announced: now,
+            health: EndpointHealth::new(EjectionConfig::default(), now),
+            admission: AdmissionController::new(announcement.slots),
             waiters: Vec::new(),
         }
     }
@@ -337,41 +349,43 @@
             id: self.id.clone(),
             service: self.service.clone(),
             slots: self.slots,
-            state: self.standing.state(),
-            failure_level: failure_level(self.standing.failure_rate()),
+            state: self.health.state(),
+            failure_level: failure_level(self.health.failure_rate()),
         }
     }
 
-    fn on(&mut self, event: EndpointEvent, now: Instant) -> bool {
-        let before = self.standing.state();
-        let changed = self.standing.handle(event, now);
+    /// Applies an event and refuses the waiters if the endpoint accepts no more requests; returns whether its state
+    /// changed.
+    fn handle(&mut self, event: EndpointEvent, now: Instant) -> bool {
+        let before = self.health.state();
+        let changed = self.health.handle(event, now);
         if changed {
-            log_change(&self.id, before, self.standing.state());
+            log_change(&self.id, before, self.health.state());
         }
-        if !self.standing.accepts_work() {
-            for release in self.gate.refuse_waiters(Refusal::EndpointLeaving) {
-                self.release(Some(release));
+        if !self.health.accepts_work() {
+            for decision in self.admission.refuse_waiters(Refusal::EndpointLeaving) {
+                self.deliver_decision(Some(decision));
             }
         }
         changed
     }
 
-    /// Tells a waiter what became of it.
-    fn release(&mut self, release: Option<WaiterDecision>) {
-        let Some(WaiterDecision { id, decision }) = release else { return };
+    /// Sends a waiter its decision.
+    fn deliver_decision(&mut self, decision: Option<WaiterDecision>) {
+        let Some(WaiterDecision { id, decision }) = decision else { return };
         let at = self.waiters.iter().position(|it| it.0 == id).expect("each waiter has a channel");
         let (_, tx) = self.waiters.swap_remove(at);
-        tx.send(decision).expect("a waiter takes itself out before it goes");
+        tx.send(decision).expect("a waiter keeps its receiver until it is removed");
     }
 }
 
 fn log_change(id: &str, before: EndpointState, after: EndpointState) {
     let (before, after) = (format!("{before:?}"), format!("{after:?}"));
-    log::info!(endpoint = id, before = before.as_str(), after = after.as_str(); "endpoint changed its state");
+    log::info!(endpoint = id, before = before.as_str(), after = after.as_str(); "endpoint state changed");
     metrics::counter!("jayreach_endpoint_changes_total", "to" => after).increment(1);
 }
 
-/// Whether the fleet must hear of a change at once; load alone rides on answers.
-fn tells_more(before: &EndpointRow, after: &EndpointRow) -> bool {
+/// Whether a row changed enough to be gossiped: another state, or a failure level that differs by 2 or more.
+fn is_worth_gossip(before: &EndpointRow, after: &EndpointRow) -> bool {
     before.state != after.state || before.failure_level.abs_diff(after.failure_level) >= 2
 }
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -1,4 +1,5 @@
-//! The home's desk: the ticket records behind a lock, and waiting for runs under way.
+//! The tickets that this daemon issued, shared between threads: a second request under a ticket waits for the first
+//! one.
 
 use std::{
     sync::{Arc, Condvar, Mutex, PoisonError},
@@ -12,16 +13,16 @@
     wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus},
 };
 
-/// The records of this daemon's tickets.
-pub(crate) struct HomeDesk {
+/// The records of the tickets that this daemon issued.
+pub(crate) struct IssuedTickets {
     home: Mutex<TicketHome>,
-    /// Told whenever a run ends.
-    ended: Condvar,
+    /// Notified whenever a run ends.
+    run_ended: Condvar,
 }
 
-impl HomeDesk {
+impl IssuedTickets {
     pub(crate) fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
-        Self { home: Mutex::new(TicketHome::new(daemon, incarnation)), ended: Condvar::new() }
+        Self { home: Mutex::new(TicketHome::new(daemon, incarnation)), run_ended: Condvar::new() }
     }
 
     /// Issues `count` tickets.
@@ -31,7 +32,7 @@
         (0..count).map(|_| home.issue(now)).collect()
     }
 
-    /// Begins a run or says why not; a run under way is waited for until `deadline`.
+    /// Begins a run under a ticket, or returns why none may begin. Waits until `deadline` for a run that is under way.
     pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> BeginDecision {
         let mut home = lock(&self.home);
         loop {
@@ -43,42 +44,43 @@
             if left.is_zero() {
                 return BeginDecision::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
             }
-            let waited = self.ended.wait_timeout(home, left);
+            let waited = self.run_ended.wait_timeout(home, left);
             home = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// Numbers the next attempt under a running ticket.
+    /// Records the next attempt under a running ticket and returns its number; `None` if its record has expired.
     pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
         let mut home = lock(&self.home);
         let attempt = home.record_dispatch(ticket.sequence, guard)?;
         Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
-    /// Ends a run, or clears up an unknown one.
+    /// Records the outcome of a run, also of one whose outcome was unknown; returns the recorded outcome.
     pub(crate) fn settle(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
         let settled = lock(&self.home).record_outcome(sequence, outcome);
-        self.ended.notify_all();
+        self.run_ended.notify_all();
         settled
     }
 
-    /// What is known of a ticket.
+    /// The state of a ticket.
     pub(crate) fn status(&self, ticket: &Ticket) -> TicketStatus {
         lock(&self.home).status(ticket)
     }
 
-    /// The unknown tickets that may still be cleared up, with the low-water sequence.
+    /// The tickets whose unknown outcome may still be resolved, each with its last attempt and guard, and the low-water
+    /// sequence.
     pub(crate) fn unresolved(&self) -> (Vec<(Sequence, u32, GuardIncarnation)>, Sequence) {
         let home = lock(&self.home);
         (home.unresolved(), home.low_water())
     }
 
-    /// Lets records expire.
+    /// Removes expired records.
     pub(crate) fn expire(&self) {
         lock(&self.home).remove_expired(Instant::now());
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub(crate) fn tally(&self) -> TicketCounts {
         lock(&self.home).counts()
     }
