--- a/src/targets/config_index.rs
+++ b/src/targets/config_index.rs
@@ -54,7 +54,7 @@
         for bytes in parts {
             match decode(context, bytes.as_ref())? {
                 PartContent::Base { classes, services } => {
-                    (directory.classes, directory.services) = (classes, services)
+                    (directory.classes, directory.services) = (classes, services);
                 }
                 PartContent::Routes(routes) => directory.add_routes(context, routes)?,
                 PartContent::Accounts(accounts) => directory.tokens.extend(accounts.iter().map(|it| it.token_hash)),
