--- a/src/targets/config_index.rs
+++ b/src/targets/config_index.rs
@@ -1,7 +1,6 @@
-//! The configuration as a daemon looks things up in it.
+//! The active configuration, indexed for the lookups that a daemon makes for each request.
 //!
-//! Names of accounts stay out: with 190,000 of them, the hashes alone are what 32 MB a daemon can
-//! hold beside the parts (letter 1).
+//! To limit memory, only the token hashes of accounts are kept and not their names.
 
 use crate::{
     error::Error,
@@ -11,9 +10,9 @@
     },
 };
 
-/// A route whose names are resolved.
+/// A route with its service and class as indices.
 #[derive(Debug, Clone)]
-struct Entry {
+struct IndexedRoute {
     prefix: Box<str>,
     /// An index into the services.
     service: u32,
@@ -22,18 +21,18 @@
     public: bool,
 }
 
-/// Where a path leads.
+/// The service and class to which a path is routed.
 #[derive(Debug, Clone, Copy)]
 pub struct ResolvedRoute<'a> {
-    /// The service that answers.
+    /// The service that handles the request.
     pub service: &'a Service,
-    /// The class of the work.
+    /// The class of the request.
     pub class: &'a Class,
-    /// Whether callers without an account may use it.
+    /// Whether callers without an account may use the route.
     pub public: bool,
 }
 
-/// All that a daemon looks up for a request.
+/// The classes, services, routes and token hashes of a configuration, sorted for binary search.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigIndex {
     /// Sorted by name.
@@ -41,30 +40,33 @@
     /// Sorted by name.
     services: Vec<Service>,
     /// Sorted by prefix.
-    routes: Vec<Entry>,
+    routes: Vec<IndexedRoute>,
     /// Sorted.
     tokens: Vec<TokenHash>,
 }
 
 impl ConfigIndex {
-    /// Builds the directory from coded parts, one after the other, so that no more than one part's
-    /// names are held at a time. The part with classes and services comes first, as `split` makes it.
+    /// Builds the index from encoded parts; the part with classes and services comes first, as `split` orders them.
+    /// Decodes one part at a time to limit memory.
+    ///
+    /// Fails if a part cannot be decoded or a route refers to an unknown service or class; `context` names the
+    /// configuration in the error.
     pub fn build(context: &str, parts: &[impl AsRef<Vec<u8>>]) -> Result<Self, Error> {
-        let mut directory = Self::default();
+        let mut index = Self::default();
         for bytes in parts {
             match decode(context, bytes.as_ref())? {
                 PartContent::Base { classes, services } => {
-                    (directory.classes, directory.services) = (classes, services);
+                    (index.classes, index.services) = (classes, services);
                 }
-                PartContent::Routes(routes) => directory.add_routes(context, routes)?,
-                PartContent::Accounts(accounts) => directory.tokens.extend(accounts.iter().map(|it| it.token_hash)),
+                PartContent::Routes(routes) => index.add_routes(context, routes)?,
+                PartContent::Accounts(accounts) => index.tokens.extend(accounts.iter().map(|it| it.token_hash)),
             }
         }
-        directory.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
-        directory.tokens.sort_unstable();
-        directory.routes.shrink_to_fit();
-        directory.tokens.shrink_to_fit();
-        Ok(directory)
+        index.routes.sort_by(|a, b| a.prefix.cmp(&b.prefix));
+        index.tokens.sort_unstable();
+        index.routes.shrink_to_fit();
+        index.tokens.shrink_to_fit();
+        Ok(index)
     }
 
     fn add_routes(&mut self, context: &str, routes: Vec<Route>) -> Result<(), Error> {
@@ -72,32 +74,32 @@
             let service = self.services.binary_search_by(|s| s.name.cmp(&it.service));
             let class = self.classes.binary_search_by(|c| c.name.cmp(&it.class));
             let (Ok(service), Ok(class)) = (service, class) else {
-                let message = format!("the route {} names a service or class that is not there", it.prefix);
+                let message = format!("the route {} refers to a service or class that does not exist", it.prefix);
                 return Err(Error::Corrupt { context: context.into(), message: message.into() });
             };
             let (service, class) = (service as u32, class as u32);
-            self.routes.push(Entry { prefix: it.prefix, service, class, public: it.public });
+            self.routes.push(IndexedRoute { prefix: it.prefix, service, class, public: it.public });
         }
         Ok(())
     }
 
-    /// The route with the longest prefix of whole segments of `path`.
+    /// Returns the route whose prefix matches the most whole segments of `path`.
     pub fn route(&self, path: &str) -> Option<ResolvedRoute<'_>> {
         let mut prefix = path.trim_end_matches('/');
         loop {
-            let wanted = if prefix.is_empty() { "/" } else { prefix };
-            if let Ok(at) = self.routes.binary_search_by(|it| (*it.prefix).cmp(wanted)) {
+            let key = if prefix.is_empty() { "/" } else { prefix };
+            if let Ok(at) = self.routes.binary_search_by(|it| (*it.prefix).cmp(key)) {
                 return Some(self.resolve(&self.routes[at]));
             }
             prefix = &prefix[..prefix.rfind('/')?];
         }
     }
 
-    fn resolve(&self, entry: &Entry) -> ResolvedRoute<'_> {
+    fn resolve(&self, route: &IndexedRoute) -> ResolvedRoute<'_> {
         ResolvedRoute {
-            service: &self.services[entry.service as usize],
-            class: &self.classes[entry.class as usize],
-            public: entry.public,
+            service: &self.services[route.service as usize],
+            class: &self.classes[route.class as usize],
+            public: route.public,
         }
     }
 
@@ -107,12 +109,12 @@
         Some(&self.services[at])
     }
 
-    /// Whether an account has this token.
+    /// Whether `token` is the bearer token of an account.
     pub fn has_account(&self, token: &str) -> bool {
         self.tokens.binary_search(&hash_token(token)).is_ok()
     }
 
-    /// The share of the classes that matter at most as much as `importance`.
+    /// The fraction of classes whose importance is at most `importance`.
     pub fn share_up_to(&self, importance: Importance) -> f64 {
         let count = self.classes.iter().filter(|it| it.importance <= importance).count();
         count as f64 / self.classes.len().max(1) as f64
--- a/src/targets/diff.rs
+++ b/src/targets/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two targets, for `diff` and the audit trail.
+//! Compares two configurations, for the `diff` command and the audit trail.
 
 use std::{cmp::Ordering, fmt};
 
@@ -6,28 +6,28 @@
 
 use crate::targets::model::Targets;
 
-/// How an item differs.
+/// The kind of a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
-    /// Only the new targets have it.
+    /// The item is only in the new configuration.
     Added,
-    /// Only the old targets have it.
+    /// The item is only in the old configuration.
     Removed,
-    /// Both have it, with other values.
+    /// The item is in both, with different values.
     Changed,
 }
 
-/// One item that differs.
+/// An item that differs between two configurations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// How it differs.
+    /// Whether the item was added, removed or changed.
     pub edit: Edit,
-    /// "class", "service", "route" or "account".
+    /// The kind of item: "class", "service", "route" or "account".
     pub kind: Box<str>,
-    /// Its name or prefix.
+    /// The item's name, or the prefix of a route.
     pub name: Box<str>,
-    /// The values before and after, as far as they exist.
+    /// The old value, the new one or both, each cut to 160 characters.
     pub values: Box<str>,
 }
 
@@ -42,17 +42,17 @@
     }
 }
 
-/// Everything that differs from `old` to `new`.
+/// Lists the differences from `old` to `new`, by kind and name.
 pub fn differences(old: &Targets, new: &Targets) -> Vec<Difference> {
     let mut list = Vec::new();
-    compare(&mut list, "class", &old.classes, &new.classes, |it| it.name.clone());
-    compare(&mut list, "service", &old.services, &new.services, |it| it.name.clone());
-    compare(&mut list, "route", &old.routes, &new.routes, |it| it.prefix.clone());
-    compare(&mut list, "account", &old.accounts, &new.accounts, |it| it.name.clone());
+    push_differences(&mut list, "class", &old.classes, &new.classes, |it| it.name.clone());
+    push_differences(&mut list, "service", &old.services, &new.services, |it| it.name.clone());
+    push_differences(&mut list, "route", &old.routes, &new.routes, |it| it.prefix.clone());
+    push_differences(&mut list, "account", &old.accounts, &new.accounts, |it| it.name.clone());
     list
 }
 
-fn compare<T: PartialEq + fmt::Debug>(
+fn push_differences<T: PartialEq + fmt::Debug>(
     list: &mut Vec<Difference>,
     kind: &str,
     old: &[T],
@@ -71,15 +71,15 @@
             (None, _) => Ordering::Greater,
         };
         let (edit, name, values) = match order {
-            Ordering::Less => (Edit::Removed, &old[i].0, describe(old[i].1)),
-            Ordering::Greater => (Edit::Added, &new[j].0, describe(new[j].1)),
+            Ordering::Less => (Edit::Removed, &old[i].0, truncated_debug(old[i].1)),
+            Ordering::Greater => (Edit::Added, &new[j].0, truncated_debug(new[j].1)),
             Ordering::Equal => {
-                let values = format!("{} -> {}", describe(old[i].1), describe(new[j].1));
+                let values = format!("{} -> {}", truncated_debug(old[i].1), truncated_debug(new[j].1));
                 (Edit::Changed, &old[i].0, values)
             }
         };
-        let same = order == Ordering::Equal && old[i].1 == new[j].1;
-        if !same {
+        let unchanged = order == Ordering::Equal && old[i].1 == new[j].1;
+        if !unchanged {
             list.push(Difference { edit, kind: kind.into(), name: name.clone(), values: values.into() });
         }
         i += usize::from(order != Ordering::Greater);
@@ -87,10 +87,10 @@
     }
 }
 
-fn describe<T: fmt::Debug>(item: &T) -> String {
-    const LIMIT: usize = 160;
+fn truncated_debug<T: fmt::Debug>(item: &T) -> String {
+    const MAX_CHARS: usize = 160;
     let text = format!("{item:?}");
-    match text.char_indices().nth(LIMIT) {
+    match text.char_indices().nth(MAX_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
--- a/src/targets/mod.rs
+++ b/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets: what operators write, how it is checked, compared and cut into parts.
+//! The configuration that operators write: its model, parsing, comparison and division into parts.
 
 mod config_index;
 mod diff;
--- a/src/targets/model.rs
+++ b/src/targets/model.rs
@@ -1,88 +1,90 @@
-//! What operators write: targets, never weights or addresses (brief, "The product").
+//! The configuration that operators write: classes, services, routes and accounts.
+//!
+//! It has no weights and no endpoint addresses: endpoints announce themselves.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A class of work and its target.
+/// A class of requests with its latency limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Class {
-    /// The name operators use.
+    /// The name by which routes refer to the class.
     pub name: Box<str>,
-    /// How late an answer may be.
+    /// The latency limit: how long after its arrival a request may be answered.
     pub lateness: Duration,
-    /// How much it matters, 1 to 100; more is more important.
+    /// Which requests are shed first under overload: those of lower importance.
     pub importance: Importance,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may safely run more than once.
     pub idempotent: bool,
 }
 
-/// How much work matters, 1 to 100; more is more important.
+/// The importance of a request, from 1 (lowest) to 100.
 pub type Importance = u8;
 
-/// Which of the two measures of the brief a service weighs more.
+/// Which cost of ejections a service would rather keep low.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EjectionPreference {
-    /// How long a failing endpoint keeps receiving work.
+    /// The time for which a failing endpoint keeps receiving requests.
     DetectionTime,
-    /// How many healthy endpoints are removed.
+    /// The number of healthy endpoints that are ejected.
     FalseEjections,
 }
 
-/// A service: a set of endpoints that announce its name.
+/// A service, provided by the endpoints that announce its name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The name endpoints announce.
+    /// The name that endpoints announce.
     pub name: Box<str>,
-    /// The share of announced slots that ejections must leave, in percent.
+    /// The capacity floor: the share of announced slots that ejections must leave, 1 to 100 percent.
     pub floor_percent: u8,
-    /// What matters more here.
+    /// The ejection preference of the service.
     pub weighs: EjectionPreference,
 }
 
-/// A path prefix and what it leads to.
+/// Maps a path prefix to a service and a class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Whole path segments, beginning with `/` and, but for the root, not ending with one.
+    /// Whole path segments; begins with `/` and, unless it is the root, does not end with `/`.
     pub prefix: Box<str>,
-    /// The service that answers.
+    /// The name of the service that handles the requests.
     pub service: Box<str>,
-    /// The class of the work.
+    /// The name of the class of the requests.
     pub class: Box<str>,
-    /// Whether callers without an account may use it.
+    /// Whether callers without an account may use the route.
     pub public: bool,
 }
 
-/// The SHA-256 of an account's bearer token; the token itself is never kept.
+/// The SHA-256 of an account's bearer token; the token itself is never stored.
 pub type TokenHash = [u8; 32];
 
-/// Hashes a bearer token as the configuration keeps it.
+/// Hashes a bearer token as it is stored in the configuration.
 pub fn hash_token(token: &str) -> TokenHash {
     Sha256::digest(token.as_bytes()).into()
 }
 
-/// A caller's account.
+/// A client account, identified by its bearer token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// The name operators use.
+    /// A unique name, for operators.
     pub name: Box<str>,
-    /// The hash of the token.
+    /// The SHA-256 of its bearer token.
     #[serde(with = "serde_bytes")]
     pub token_hash: TokenHash,
 }
 
-/// A whole configuration. Every list is sorted by its name or prefix, without doubles.
+/// A complete configuration. Its lists are sorted and have no duplicate names, prefixes or tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Targets {
     /// Sorted by name.
     pub classes: Vec<Class>,
     /// Sorted by name.
     pub services: Vec<Service>,
-    /// Sorted by prefix; each names a service and a class of the lists above.
+    /// Sorted by prefix; their services and classes are in the lists above.
     pub routes: Vec<Route>,
-    /// Sorted by token hash, which is what daemons look accounts up by.
+    /// Sorted by token hash, by which daemons look accounts up.
     pub accounts: Vec<Account>,
 }
 
--- a/src/targets/parse.rs
+++ b/src/targets/parse.rs
@@ -1,4 +1,4 @@
-//! Reads targets from TOML and checks them; all findings come at once.
+//! Parses and validates a targets file (TOML); all findings are reported together.
 
 use std::{collections::BTreeSet, fmt::Write as _, time::Duration};
 
@@ -8,42 +8,42 @@
     targets::model::{Account, Class, EjectionPreference, Route, Service, Targets, TokenHash},
 };
 
-/// The longest lateness a class may have; recorded answers outlive it (docs/DESIGN.md, tickets).
-const LATENESS_LIMIT: Duration = Duration::from_secs(120);
+/// The longest latency limit of a class; it must be shorter than the retention of ticket records.
+const MAX_LATENESS: Duration = Duration::from_secs(120);
 
-/// A targets file: the targets and the version they were made from, if it says so.
+/// The contents of a targets file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetsFile {
-    /// The version the operator started from; another version in force is a conflict.
+    /// The version that the operator edited; `apply` fails with a conflict if another one is active.
     pub based_on: Option<u64>,
-    /// The targets.
+    /// The configuration in the file.
     pub targets: Targets,
 }
 
-/// Parses and checks `text`.
+/// Parses and validates `text`; `file` names it in the findings.
 pub fn parse_targets(file: &str, text: &str) -> Result<TargetsFile, Findings> {
     let doc = Document::new(file, text);
     let table = doc.parse();
     let mut section = Section::new(&doc, "the targets", 0, table.get_ref());
-    let read = read(&mut section);
-    section.close(refusal);
+    let targets_file = read_targets_file(&mut section);
+    section.close(forbidden_key_reason);
     let findings = doc.close();
-    if findings.is_empty() { Ok(read) } else { Err(findings) }
+    if findings.is_empty() { Ok(targets_file) } else { Err(findings) }
 }
 
-/// Why a key that other dispatchers have is not one of ours.
-fn refusal(key: &str) -> Option<&'static str> {
+/// Explains why a key that operators might expect here is rejected.
+fn forbidden_key_reason(key: &str) -> Option<&'static str> {
     match key {
         "weight" | "weights" => Some("operators set targets; the system chooses the weights itself"),
         "address" | "addresses" | "host" | "hosts" | "endpoint" | "endpoints" => {
             Some("addresses are never listed; endpoints announce themselves")
         }
-        "token" | "password" => Some("only the hash of a token is kept; write `token_sha256`"),
+        "token" | "password" => Some("only the hash of a token is stored; set `token_sha256`"),
         _ => None,
     }
 }
 
-fn read(section: &mut Section<'_>) -> TargetsFile {
+fn read_targets_file(section: &mut Section<'_>) -> TargetsFile {
     let based_on = section.number("based_on", 0..u64::MAX);
     let classes = read_classes(section);
     let services = read_services(section);
@@ -60,15 +60,15 @@
         if section.offset("lateness") == section.start() {
             section.find("lateness", format!("class.{name} lacks `lateness`"));
         }
-        if lateness.is_some_and(|it| it > LATENESS_LIMIT) {
-            section.find("lateness", format!("`lateness` must be at most {}", format_duration(LATENESS_LIMIT)));
+        if lateness.is_some_and(|it| it > MAX_LATENESS) {
+            section.find("lateness", format!("`lateness` must be at most {}", format_duration(MAX_LATENESS)));
         }
         let importance = section.required_number("importance", 1..101);
         let idempotent = section.flag("idempotent");
         if idempotent.is_none() && section.offset("idempotent") == section.start() {
             section.find("idempotent", format!("class.{name} lacks `idempotent`"));
         }
-        section.close(refusal);
+        section.close(forbidden_key_reason);
         if let (Some(lateness), Some(importance), Some(idempotent)) = (lateness, importance, idempotent) {
             classes.push(Class { name, lateness, importance: importance as u8, idempotent });
         }
@@ -90,7 +90,7 @@
             }
             None => None,
         };
-        section.close(refusal);
+        section.close(forbidden_key_reason);
         if let (Some(floor_percent), Some(weighs)) = (floor_percent, weighs) {
             services.push(Service { name, floor_percent: floor_percent as u8, weighs });
         }
@@ -110,16 +110,16 @@
         if let Some(prefix) = &prefix {
             check_prefix(&section, prefix);
             if !seen.insert(prefix.clone()) {
-                section.find("prefix", format!("the prefix {prefix} stands twice"));
+                section.find("prefix", format!("the prefix {prefix} occurs twice"));
             }
         }
         if let Some(it) = service.as_deref().filter(|it| targets.service(it).is_none()) {
-            section.find("service", format!("no service is called {it}"));
+            section.find("service", format!("the service {it} is not defined"));
         }
         if let Some(it) = class.as_deref().filter(|it| targets.class(it).is_none()) {
-            section.find("class", format!("no class is called {it}"));
+            section.find("class", format!("the class {it} is not defined"));
         }
-        section.close(refusal);
+        section.close(forbidden_key_reason);
         if let (Some(prefix), Some(service), Some(class)) = (prefix, service, class) {
             routes.push(Route { prefix, service, class, public });
         }
@@ -136,7 +136,7 @@
         section.find("prefix", "`prefix` must not end with /");
     }
     if prefix == "/.jayreach" || prefix.starts_with("/.jayreach/") {
-        section.find("prefix", "/.jayreach is the system's own");
+        section.find("prefix", "paths under /.jayreach are reserved");
     }
 }
 
@@ -148,7 +148,7 @@
         let name = section.required_text("name");
         let hash = section.required_text("token_sha256");
         if let Some(name) = name.as_ref().filter(|it| !names.insert((*it).clone())) {
-            section.find("name", format!("the account {name} stands twice"));
+            section.find("name", format!("the account {name} occurs twice"));
         }
         let token_hash = hash.and_then(|it| parse_hash(&it));
         match token_hash {
@@ -158,7 +158,7 @@
             }
             _ => (),
         }
-        section.close(refusal);
+        section.close(forbidden_key_reason);
         if let (Some(name), Some(token_hash)) = (name, token_hash) {
             accounts.push(Account { name, token_hash });
         }
@@ -178,12 +178,12 @@
     Some(hash)
 }
 
-/// Writes targets as the TOML that `parse_targets` reads back.
+/// Formats targets as TOML that `parse_targets` reads back.
 pub fn write_targets(targets: &Targets, based_on: u64) -> String {
     let mut out = format!("based_on = {based_on}\n");
     for it in &targets.classes {
         let lateness = format_duration(it.lateness);
-        _ = write!(out, "\n[class.{}]\nlateness = \"{lateness}\"\n", quote(&it.name));
+        _ = write!(out, "\n[class.{}]\nlateness = \"{lateness}\"\n", toml_string(&it.name));
         _ = write!(out, "importance = {}\nidempotent = {}\n", it.importance, it.idempotent);
     }
     for it in &targets.services {
@@ -191,20 +191,20 @@
             EjectionPreference::DetectionTime => "detection-time",
             EjectionPreference::FalseEjections => "false-ejections",
         };
-        _ = write!(out, "\n[service.{}]\nfloor_percent = {}\n", quote(&it.name), it.floor_percent);
+        _ = write!(out, "\n[service.{}]\nfloor_percent = {}\n", toml_string(&it.name), it.floor_percent);
         _ = writeln!(out, "weighs = \"{weighs}\"");
     }
     for it in &targets.routes {
-        _ = write!(out, "\n[[route]]\nprefix = {}\nservice = {}\n", quote(&it.prefix), quote(&it.service));
-        _ = write!(out, "class = {}\npublic = {}\n", quote(&it.class), it.public);
+        _ = write!(out, "\n[[route]]\nprefix = {}\nservice = {}\n", toml_string(&it.prefix), toml_string(&it.service));
+        _ = write!(out, "class = {}\npublic = {}\n", toml_string(&it.class), it.public);
     }
     for it in &targets.accounts {
         let hash = crate::util::hex(&it.token_hash);
-        _ = write!(out, "\n[[account]]\nname = {}\ntoken_sha256 = \"{hash}\"\n", quote(&it.name));
+        _ = write!(out, "\n[[account]]\nname = {}\ntoken_sha256 = \"{hash}\"\n", toml_string(&it.name));
     }
     out
 }
 
-fn quote(text: &str) -> String {
+fn toml_string(text: &str) -> String {
     toml::Value::from(text).to_string()
 }
