--- a/src/rows/exchange.rs
+++ b/src/rows/exchange.rs
@@ -1,7 +1,8 @@
-//! The anti-entropy exchange between two tables, and the push of news.
+//! The anti-entropy exchange between two membership tables, and the push of changed rows.
 //!
-//! Two round trips at most: `CompareRequest` names the digest of every bucket, the answer the stamps in
-//! those that differ; `DeliverRequest` brings what the asker has newer and names what it wants.
+//! An exchange takes at most two round trips. `CompareRequest` carries the digest of every bucket, and its response
+//! the stamps in the buckets that differ. `DeliverRequest` carries the rows that are newer at the requester and the
+//! keys of those that are newer at the responder.
 
 use std::time::Instant;
 
@@ -15,69 +16,69 @@
     targets::Version,
 };
 
-/// Opens an exchange.
+/// Starts an exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareRequest {
-    /// The sender's digest by buckets, as little-endian words.
+    /// The digests of the sender's buckets, as little-endian 32-bit words.
     #[serde(with = "serde_bytes")]
     pub digest: Vec<u8>,
-    /// The version the sender has in force.
+    /// The active configuration version of the sender.
     pub version: Version,
 }
 
-/// The stamps of one bucket that differs.
+/// The stamps in one bucket whose digests differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketStamps {
-    /// Which bucket.
+    /// The index of the bucket.
     pub bucket: u16,
-    /// What the answerer has in it.
+    /// The key and stamp of every row in the responder's bucket, sorted by key.
     pub stamps: Vec<(MemberKey, Stamp)>,
 }
 
-/// Answers `CompareRequest`.
+/// The response to [`CompareRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareResponse {
     /// The buckets that differ.
     pub differing: Vec<BucketStamps>,
-    /// The version the answerer has in force.
+    /// The active configuration version of the responder.
     pub version: Version,
 }
 
-/// Ends an exchange in which something differed.
+/// Ends an exchange in which the tables differed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeliverRequest<E = Vec<EndpointRow>> {
-    /// What the sender has newer.
+    /// The rows that are newer at the sender.
     pub rows: Vec<Row<E>>,
-    /// What it wants.
+    /// The keys of the rows that are newer at the receiver.
     pub wanted: Vec<MemberKey>,
 }
 
-/// Answers `DeliverRequest`.
+/// The response to [`DeliverRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeliverResponse<E = Vec<EndpointRow>> {
-    /// The rows that were wanted.
+    /// The requested rows.
     pub rows: Vec<Row<E>>,
 }
 
-/// News, sent at once to a few peers.
+/// Changed rows, sent at once to a few peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PushRequest {
     /// The rows that changed.
     pub rows: Vec<Row>,
-    /// The version the sender has in force.
+    /// The active configuration version of the sender.
     pub version: Version,
-    /// Where the sender's peers reach it, for fetching that version.
+    /// The address at which peers can fetch that version from the sender.
     pub sender: std::net::SocketAddr,
 }
 
 impl CompareRequest {
-    /// Opens an exchange for `table`.
+    /// Creates the request of an exchange for `table`.
     pub fn new<E: Clone>(table: &MemberTable<E>, version: Version) -> Self {
         let digest = table.buckets().iter().flat_map(|it| it.to_le_bytes()).collect();
         Self { digest, version }
     }
 
-    /// The answer of `table`.
+    /// Lists the stamps in the buckets of `table` that differ from the requester's.
     pub fn answer<E: Clone>(&self, table: &MemberTable<E>, version: Version) -> CompareResponse {
         let theirs = self.digest.chunks_exact(4);
         let pairs = table.buckets().iter().zip(theirs).enumerate();
@@ -88,23 +89,26 @@
 }
 
 impl CompareResponse {
-    /// What to deliver and to ask for; `None` if the tables agree.
+    /// The rows to deliver and to request; `None` if the tables agree.
     pub fn follow_up<E: Clone>(&self, table: &MemberTable<E>) -> Option<DeliverRequest<E>> {
         let mut deliver = DeliverRequest { rows: Vec::new(), wanted: Vec::new() };
         for it in &self.differing {
             let mut theirs = it.stamps.clone();
             theirs.sort();
             let ours = table.bucket(usize::from(it.bucket));
-            deliver.wanted.extend(newer(&theirs, &ours));
-            let newer_here = newer(&ours, &theirs);
-            deliver.rows.extend(newer_here.filter_map(|key| table.get_by_key(key)).map(|row| Row::clone(row)));
+            deliver.wanted.extend(newer_keys(&theirs, &ours));
+            let to_deliver = newer_keys(&ours, &theirs);
+            deliver.rows.extend(to_deliver.filter_map(|key| table.get_by_key(key)).map(|row| Row::clone(row)));
         }
         (!deliver.rows.is_empty() || !deliver.wanted.is_empty()).then_some(deliver)
     }
 }
 
-/// The keys that `here` has newer than `there`; both are sorted by key.
-fn newer<'a>(here: &'a [(MemberKey, Stamp)], there: &'a [(MemberKey, Stamp)]) -> impl Iterator<Item = MemberKey> + 'a {
+/// The keys whose stamps are newer in `here` than in `there`, or only in `here`; both are sorted by key.
+fn newer_keys<'a>(
+    here: &'a [(MemberKey, Stamp)],
+    there: &'a [(MemberKey, Stamp)],
+) -> impl Iterator<Item = MemberKey> + 'a {
     here.iter().filter_map(|(key, stamp)| {
         let known = there.binary_search_by_key(key, |it| it.0).ok().map(|at| there[at].1);
         known.is_none_or(|it| it < *stamp).then_some(*key)
@@ -112,26 +116,26 @@
 }
 
 impl<E: Clone> DeliverRequest<E> {
-    /// Takes the rows in and answers with those that are wanted; also returns the news.
+    /// Merges the delivered rows into `table`. Returns the response and the rows that are to be spread.
     pub fn answer(self, table: &mut MemberTable<E>, now: Instant) -> (DeliverResponse<E>, Vec<Row<E>>) {
         let wanted = self.wanted.iter().filter_map(|it| table.get_by_key(*it));
         let rows = wanted.map(|it| Row::clone(it)).collect();
-        let news = table.merge_all(self.rows, now);
-        (DeliverResponse { rows }, news)
+        let updated = table.merge_all(self.rows, now);
+        (DeliverResponse { rows }, updated)
     }
 }
 
 impl<E: Clone> MemberTable<E> {
-    /// Takes rows in; returns those that were news, and the own row if it had to be defended.
+    /// Merges rows. Returns those that were newer, and the owner's row if a received one was in conflict with it.
     pub fn merge_all(&mut self, rows: Vec<Row<E>>, now: Instant) -> Vec<Row<E>> {
-        let mut news = Vec::new();
+        let mut updated = Vec::new();
         for row in rows {
             match self.merge(row.clone(), now) {
-                MergeResult::Updated => news.push(row),
-                MergeResult::Conflict => news.push(Row::clone(self.own_row())),
+                MergeResult::Updated => updated.push(row),
+                MergeResult::Conflict => updated.push(Row::clone(self.own_row())),
                 MergeResult::Ignored => (),
             }
         }
-        news
+        updated
     }
 }
--- a/src/rows/mod.rs
+++ b/src/rows/mod.rs
@@ -1,4 +1,4 @@
-//! Membership: one versioned row a daemon or proxy, spread by push and by anti-entropy.
+//! Membership: one versioned row for each daemon or proxy, spread by pushes and by anti-entropy exchanges.
 
 mod exchange;
 mod row;
--- a/src/rows/row.rs
+++ b/src/rows/row.rs
@@ -1,78 +1,78 @@
-//! A row: what the fleet knows of a daemon, or of a proxy. Only the owner changes it.
+//! The membership row of a daemon or proxy. Only its owner changes it; others may mark it as down.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A daemon's name, unique in the fleet.
+/// The name of a daemon or proxy, unique in the fleet.
 pub type DaemonId = Box<str>;
-/// An endpoint's address as it announced itself.
+/// The address that an endpoint announced.
 pub type EndpointId = Box<str>;
-/// Tells one run of a daemon from the next; later runs have higher numbers.
+/// Identifies one run of a daemon; later runs have higher numbers.
 pub type Incarnation = u64;
 
-/// What an endpoint can be given, by its guard's evidence (charts/endpoint.toml).
+/// Whether an endpoint receives requests, as decided by its guard (charts/endpoint.toml).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
-    /// It is not ready yet.
+    /// It is not ready.
     Starting,
-    /// It takes work.
+    /// It receives requests.
     Serving,
-    /// The evidence against it grows: it gets less work.
+    /// The evidence of a fault is growing: it receives fewer requests.
     Suspect,
-    /// The evidence is complete: it gets none, as far as the floor allows.
+    /// It is ejected: it receives no requests, as far as the capacity floor allows.
     Ejected,
-    /// It is tried with a little idempotent work.
+    /// It receives a few idempotent requests that test whether it has recovered.
     Trial,
-    /// It takes no new work.
+    /// It accepts no new requests.
     Leaving,
-    /// It has not announced itself for too long.
+    /// Its announcements have stopped.
     Gone,
 }
 
 /// An endpoint in its guard's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRow {
-    /// Its address, which names it.
+    /// Its address, which identifies it.
     pub id: EndpointId,
-    /// Its service.
+    /// The name of its service.
     pub service: Box<str>,
-    /// How much work it takes at once.
+    /// The number of requests that it runs at once.
     pub slots: u16,
-    /// What it can be given.
+    /// Whether it receives requests.
     pub state: EndpointState,
-    /// Its recent failure rate as a power of two: 0 for none, n for about 2^(n-11).
+    /// Its recent failure rate on a logarithmic scale: 0 for none, n for about 2^(n-11).
     #[serde(rename = "failures")]
     pub failure_level: u8,
 }
 
-/// Orders the states of one row; the higher one is newer.
+/// The version of a row; a higher stamp is newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
     /// The owner's incarnation.
     pub incarnation: Incarnation,
-    /// The owner's count of changes.
+    /// Counts the owner's changes to the row.
     pub sequence: u64,
-    /// Whether others hold it to be down; the owner refutes that with a higher sequence.
+    /// Whether others marked the owner as down; the owner refutes that with a higher sequence.
     pub down: bool,
 }
 
-/// What the fleet knows of a daemon; `E` tells of the endpoints that it guards.
+/// The membership row of a daemon or proxy; `E` describes the endpoints that it guards.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row<E = Vec<EndpointRow>> {
-    /// The owner.
+    /// The owner's name.
     #[serde(rename = "daemon")]
     pub name: DaemonId,
-    /// Orders this row among the owner's others.
+    /// The version of this row.
     pub stamp: Stamp,
-    /// Where the owner stands.
+    /// The owner's data centre.
     pub data_centre: Box<str>,
-    /// Where its peers reach it.
+    /// The address at which peers connect to the owner.
     #[serde(rename = "peers")]
     pub peer_address: SocketAddr,
-    /// Whether it is shutting down.
+    /// Whether the owner is shutting down.
     pub leaving: bool,
-    /// Its endpoints; where there may be several, sorted by id.
+    /// The endpoints that the owner guards; a list is sorted by id.
     pub endpoints: E,
 }
--- a/src/rows/table.rs
+++ b/src/rows/table.rs
@@ -1,4 +1,4 @@
-//! The rows one daemon knows, with a digest by buckets.
+//! The membership table: all rows that a daemon or proxy has received, with a digest of each bucket of keys.
 
 use std::{
     sync::Arc,
@@ -10,101 +10,101 @@
     util::{mix, stable_hash},
 };
 
-/// Into how many buckets the digest is cut; chosen by measurement (docs/CAPACITY.md, rows).
+/// The number of buckets that are compared by their digests; a power of two.
 pub const BUCKETS: usize = 256;
-/// How long the row of a daemon that left is kept, so that a late copy does not bring it back.
-const FORGET_LEFT: Duration = Duration::from_secs(600);
-/// How long the row of a daemon that is down is kept and its address tried.
-const FORGET_DOWN: Duration = Duration::from_secs(6 * 3600);
+/// How long the row of a member that left is kept, so that a late copy does not restore it.
+const LEFT_RETENTION: Duration = Duration::from_secs(600);
+/// How long the row of a member that is down is kept and its address probed.
+const DOWN_RETENTION: Duration = Duration::from_secs(6 * 3600);
 
-/// A short name of a daemon in digests.
+/// The hash of a member's name, by which digests and exchanges identify it.
 pub type MemberKey = u64;
 
-/// The short name of a daemon.
-pub fn member_key(daemon: &str) -> MemberKey {
-    stable_hash(&[daemon.as_bytes()])
+/// Computes the key of the member called `name`.
+pub fn member_key(name: &str) -> MemberKey {
+    stable_hash(&[name.as_bytes()])
 }
 
-/// A row and when it was last replaced.
+/// A row in a membership table.
 #[derive(Debug, Clone)]
 pub struct TableEntry<E = Vec<EndpointRow>> {
     key: MemberKey,
     /// The row.
     pub row: Arc<Row<E>>,
-    /// When this daemon took the row in.
-    pub since: Instant,
+    /// When the row was stored in this table.
+    pub updated_at: Instant,
 }
 
 impl<E> TableEntry<E> {
-    /// The short name of the row's owner.
+    /// The key of the row's owner.
     pub fn key(&self) -> MemberKey {
         self.key
     }
 }
 
-/// What became of a row that was offered.
+/// What merging a received row did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeResult {
-    /// It was newer and was taken in.
+    /// The row was newer and was stored.
     Updated,
-    /// It was known, or older.
+    /// The row was not newer, or is of an unknown member that is down.
     Ignored,
-    /// It speaks of this daemon itself and claims what only the owner may.
+    /// The row is of the table's owner and newer than the owner's own row.
     Conflict,
 }
 
-/// What the owner makes of a row of its name with a higher incarnation.
+/// What the owner does when it receives a row of its own name with a higher incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HigherIncarnationPolicy {
-    /// Another process has its name, and can't be refuted.
+    /// Leave its row unchanged: another process has the same name.
     Accept,
-    /// It is of an earlier run, begun before the VM's clock was set back: the owner goes above it.
+    /// Take an incarnation above it: the row is of an earlier run, before the VM's clock was set back.
     Supersede,
 }
 
-/// All rows one daemon knows.
+/// The membership rows that one daemon or proxy has, including its own.
 pub struct MemberTable<E = Vec<EndpointRow>> {
-    own: MemberKey,
-    claims: HigherIncarnationPolicy,
-    /// Sorted by key, one entry a daemon.
+    own_key: MemberKey,
+    higher_incarnation: HigherIncarnationPolicy,
+    /// Sorted by key, one entry per member.
     entries: Vec<TableEntry<E>>,
-    /// Each is the sum of the hashes of its rows' stamps.
+    /// Each is the wrapping sum of the hashes of its rows' stamps.
     buckets: Vec<u32>,
 }
 
 impl<E: Clone> MemberTable<E> {
-    /// A table that holds the owner's row only.
-    pub fn new(own: Row<E>, claims: HigherIncarnationPolicy, now: Instant) -> Self {
+    /// Creates a table that holds only the owner's row.
+    pub fn new(own: Row<E>, higher_incarnation: HigherIncarnationPolicy, now: Instant) -> Self {
         let key = member_key(&own.name);
-        let mut table = Self { own: key, claims, entries: Vec::new(), buckets: vec![0; BUCKETS] };
-        table.store(key, Arc::new(own), now);
+        let mut table = Self { own_key: key, higher_incarnation, entries: Vec::new(), buckets: vec![0; BUCKETS] };
+        table.store_row(key, Arc::new(own), now);
         table
     }
 
     /// The owner's row.
     pub fn own_row(&self) -> &Arc<Row<E>> {
-        let at = self.find(self.own).expect("the owner's row is always there");
+        let at = self.find(self.own_key).expect("the table always holds the owner's row");
         &self.entries[at].row
     }
 
-    /// The short name of the owner.
+    /// The owner's key.
     pub fn own_key(&self) -> MemberKey {
-        self.own
+        self.own_key
     }
 
-    /// Replaces the owner's row after `edit`, with the next sequence.
+    /// Applies `edit` to the owner's row and increments its sequence.
     pub fn update_own(&mut self, now: Instant, edit: impl FnOnce(&mut Row<E>)) {
         let mut row = Row::clone(self.own_row());
         edit(&mut row);
         row.stamp.sequence += 1;
         row.stamp.down = false;
-        self.store(self.own, Arc::new(row), now);
+        self.store_row(self.own_key, Arc::new(row), now);
     }
 
-    /// Takes a row in if it is newer than what is known.
+    /// Stores a row if it is newer than the known one.
     ///
-    /// An unknown row that is down is not taken in: it would come back for ever, since each
-    /// daemon forgets it at another time.
+    /// An unknown row that is down is ignored: members remove such rows at different times, and would
+    /// otherwise restore them to each other forever.
     pub fn merge(&mut self, row: Row<E>, now: Instant) -> MergeResult {
         let key = member_key(&row.name);
         let known = self.find(key).map(|at| &self.entries[at].row);
@@ -114,62 +114,62 @@
         if known.is_some_and(|it| it.stamp >= row.stamp) {
             return MergeResult::Ignored;
         }
-        if key == self.own {
+        if key == self.own_key {
             self.refute(row.stamp, now);
             return MergeResult::Conflict;
         }
-        self.store(key, Arc::new(row), now);
+        self.store_row(key, Arc::new(row), now);
         MergeResult::Updated
     }
 
-    /// Answers a claim about the owner with a higher stamp, if it may.
+    /// Raises the owner's stamp above `claim`, if the policy allows it.
     fn refute(&mut self, claim: Stamp, now: Instant) {
         if claim.incarnation == self.own_row().stamp.incarnation {
             self.update_own(now, |it| it.stamp.sequence = claim.sequence);
-        } else if self.claims == HigherIncarnationPolicy::Supersede {
+        } else if self.higher_incarnation == HigherIncarnationPolicy::Supersede {
             self.update_own(now, |it| it.stamp.incarnation = claim.incarnation + 1);
         }
     }
 
-    /// Marks a daemon as down, as of the stamp that was probed.
-    pub fn mark_down(&mut self, daemon: &str, probed: Stamp, now: Instant) -> bool {
-        let key = member_key(daemon);
+    /// Marks a member as down if its stamp is still the one that was probed; returns whether it did.
+    pub fn mark_down(&mut self, name: &str, probed: Stamp, now: Instant) -> bool {
+        let key = member_key(name);
         let Some(at) = self.find(key) else { return false };
-        if key == self.own || self.entries[at].row.stamp != probed || probed.down {
+        if key == self.own_key || self.entries[at].row.stamp != probed || probed.down {
             return false;
         }
         let mut row = Row::clone(&self.entries[at].row);
         row.stamp.down = true;
-        self.store(key, Arc::new(row), now);
+        self.store_row(key, Arc::new(row), now);
         true
     }
 
-    /// Drops rows of daemons that left or are down for long; whether there were any.
+    /// Removes the rows of members that left or went down long ago; returns whether there were any.
     pub fn remove_expired(&mut self, now: Instant) -> bool {
-        let own = self.own;
-        let kept = |it: &TableEntry<E>| {
-            let limit = match (it.row.leaving, it.row.stamp.down) {
-                (true, _) => FORGET_LEFT,
-                (false, true) => FORGET_DOWN,
+        let own = self.own_key;
+        let is_retained = |it: &TableEntry<E>| {
+            let retention = match (it.row.leaving, it.row.stamp.down) {
+                (true, _) => LEFT_RETENTION,
+                (false, true) => DOWN_RETENTION,
                 (false, false) => return true,
             };
-            it.key == own || now.saturating_duration_since(it.since) < limit
+            it.key == own || now.saturating_duration_since(it.updated_at) < retention
         };
-        let mut dropped = Vec::new();
+        let mut removed = Vec::new();
         self.entries.retain(|it| {
-            let keep = kept(it);
+            let keep = is_retained(it);
             if !keep {
-                dropped.push((it.key, it.row.stamp));
+                removed.push((it.key, it.row.stamp));
             }
             keep
         });
-        for (key, stamp) in &dropped {
-            self.toggle(*key, *stamp, false);
+        for (key, stamp) in &removed {
+            self.update_bucket(*key, *stamp, false);
         }
-        !dropped.is_empty()
+        !removed.is_empty()
     }
 
-    /// One number that differs, but by rare chance, where any row differs.
+    /// The digest of the whole table; tables with different rows have different digests, except for collisions.
     pub fn digest(&self) -> u64 {
         let words: Vec<u64> = self.buckets.iter().map(|it| u64::from(*it)).collect();
         mix(&words)
@@ -180,22 +180,22 @@
         &self.entries
     }
 
-    /// The row of a daemon.
-    pub fn get(&self, daemon: &str) -> Option<&Arc<Row<E>>> {
-        self.get_by_key(member_key(daemon))
+    /// The row of the member called `name`.
+    pub fn get(&self, name: &str) -> Option<&Arc<Row<E>>> {
+        self.get_by_key(member_key(name))
     }
 
-    /// The row with this short name.
+    /// The row of the member with this key.
     pub fn get_by_key(&self, key: MemberKey) -> Option<&Arc<Row<E>>> {
         self.find(key).map(|at| &self.entries[at].row)
     }
 
-    /// The digest by buckets.
+    /// The digest of each bucket.
     pub fn buckets(&self) -> &[u32] {
         &self.buckets
     }
 
-    /// The short names and stamps in one bucket.
+    /// The keys and stamps in one bucket, sorted by key.
     pub fn bucket(&self, bucket: usize) -> Vec<(MemberKey, Stamp)> {
         let (start, end) = bucket_range(bucket);
         let from = self.entries.partition_point(|it| it.key < start);
@@ -203,13 +203,13 @@
         rows.map(|it| (it.key, it.row.stamp)).collect()
     }
 
-    /// The daemons that can be asked: neither down nor this one.
+    /// The rows of the other members that are not marked as down.
     pub fn live_peers(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
-        let own = self.own;
+        let own = self.own_key;
         self.entries.iter().filter(move |it| it.key != own && !it.row.stamp.down).map(|it| &it.row)
     }
 
-    /// The daemons that are held to be down and still tried now and then.
+    /// The rows of members that are marked as down and did not leave; their addresses are still probed.
     pub fn down_rows(&self) -> impl Iterator<Item = &Arc<Row<E>>> {
         self.entries.iter().filter(|it| it.row.stamp.down && !it.row.leaving).map(|it| &it.row)
     }
@@ -218,23 +218,23 @@
         self.entries.binary_search_by_key(&key, |it| it.key).ok()
     }
 
-    fn store(&mut self, key: MemberKey, row: Arc<Row<E>>, now: Instant) {
+    fn store_row(&mut self, key: MemberKey, row: Arc<Row<E>>, now: Instant) {
         let stamp = row.stamp;
-        let entry = TableEntry { key, row, since: now };
+        let entry = TableEntry { key, row, updated_at: now };
         match self.entries.binary_search_by_key(&key, |it| it.key) {
             Ok(at) => {
                 let old = self.entries[at].row.stamp;
-                assert!(old <= stamp, "a row never goes back");
-                self.toggle(key, old, false);
+                assert!(old <= stamp, "a row's stamp never decreases");
+                self.update_bucket(key, old, false);
                 self.entries[at] = entry;
             }
             Err(at) => self.entries.insert(at, entry),
         }
-        self.toggle(key, stamp, true);
+        self.update_bucket(key, stamp, true);
     }
 
-    /// Adds a stamp to its bucket's sum, or takes it out.
-    fn toggle(&mut self, key: MemberKey, stamp: Stamp, add: bool) {
+    /// Adds a stamp to the digest of its bucket, or removes it.
+    fn update_bucket(&mut self, key: MemberKey, stamp: Stamp, add: bool) {
         let hash = stamp_hash(key, stamp);
         let bucket = &mut self.buckets[bucket_of(key)];
         *bucket = if add { bucket.wrapping_add(hash) } else { bucket.wrapping_sub(hash) };
