--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the system sees it: objects with versions, conditional updates, watches.
+//! The platform's store: versioned objects with conditional updates and watches, and the configuration in it.
 
 mod client;
 mod config;
@@ -13,26 +13,26 @@
     presence_prefix,
 };
 
-/// The store's version of an object; only compared for equality and order.
+/// The store's version of an object; only its order has a meaning.
 pub type ObjectVersion = u64;
 
-/// A stored object.
+/// An object as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// The version to name in a conditional update.
+    /// The version, for a conditional update.
     pub version: ObjectVersion,
-    /// The value, at most a megabyte.
+    /// The value, at most 1 MB.
     pub value: Vec<u8>,
 }
 
-/// What a write demands of the object it replaces.
+/// The condition under which a write takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteCondition {
-    /// There must be none.
+    /// The object does not exist.
     Absent,
-    /// It must have this version.
+    /// The object has this version.
     Version(ObjectVersion),
-    /// Nothing is demanded.
+    /// None: the write always takes effect.
     Unconditional,
 }
 
@@ -42,28 +42,28 @@
     /// The call did not reach the store; nothing took effect.
     #[error("the store cannot be reached: {0}")]
     Unreachable(Box<str>),
-    /// The answer was lost or is an error; a write may have taken effect.
-    #[error("the store gave no answer: {0}")]
+    /// The response was lost or is an error; a write may have taken effect.
+    #[error("no valid response from the store: {0}")]
     NoResponse(Box<str>),
-    /// The object has another version than the write demanded; nothing took effect.
-    #[error("the object was changed by someone else")]
+    /// The condition of the write does not hold; nothing took effect.
+    #[error("the object was changed by another writer")]
     Conflict,
 }
 
-/// The platform's store. A call that waits counts as one call.
+/// The platform's store. A watch counts as one call, however long it waits.
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object.
+    /// Reads an object; `None` if it does not exist.
     fn get(&self, key: &str) -> Result<Option<Object>, StoreError>;
 
-    /// The keys that begin with `prefix`, sorted.
+    /// Lists the keys that begin with `prefix`, sorted.
     fn list(&self, prefix: &str) -> Result<Vec<Box<str>>, StoreError>;
 
-    /// Writes an object if `expect` holds.
-    fn put(&self, key: &str, value: &[u8], expect: WriteCondition) -> Result<ObjectVersion, StoreError>;
+    /// Writes an object if `condition` holds; returns its new version.
+    fn put(&self, key: &str, value: &[u8], condition: WriteCondition) -> Result<ObjectVersion, StoreError>;
 
-    /// Removes an object, if it is there.
+    /// Removes an object; succeeds if it does not exist.
     fn remove(&self, key: &str) -> Result<(), StoreError>;
 
-    /// Waits until the object's version is above `after`, for `wait` at most; `None` means it is not.
+    /// Waits up to `wait` until the object's version is above `after`; `None` if it is not by then.
     fn watch(&self, key: &str, after: ObjectVersion, wait: Duration) -> Result<Option<Object>, StoreError>;
 }
