--- a/src/ticket/dispatch_ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -1,123 +1,131 @@
-//! The guard's ledger: what became of every dispatch under a ticket, and tombstones.
+//! The guard's ledger: how the dispatches under each ticket ended, and tombstones of revoked ones.
+//!
+//! It prevents a late or duplicate dispatch from running a ticket's request again.
 
 use crate::{
     rows::{DaemonId, Incarnation},
     wire::{Outcome, RevokeReply, Sequence, Ticket, TicketLeg, TicketStatus},
 };
 
-/// What the ledger holds of a ticket.
+/// The state of the last dispatch under a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DispatchState {
-    /// It is running, or waits for a slot.
+    /// The request is running or waits for a slot.
     Running,
-    /// It ended; "not run" stands here as well, so that a late copy of the dispatch is refused.
+    /// The run ended. `NotRun` is recorded too, so that a late copy of the dispatch is refused.
     Ended(Outcome),
-    /// It was revoked before it came, or before it ran.
+    /// The dispatch was revoked before it arrived or ran (a tombstone).
     Revoked,
 }
 
 #[derive(Debug, Clone)]
-struct Line {
+struct DispatchRecord {
     ticket: Ticket,
     /// The highest attempt seen; lower ones are stale.
     attempt: u32,
-    entry: DispatchState,
+    state: DispatchState,
 }
 
 #[derive(Debug, Clone)]
-struct HomeMark {
+struct LowWaterMark {
     home: DaemonId,
     incarnation: Incarnation,
-    /// Dispatches below are refused, so their lines can be dropped.
+    /// Dispatches with a lower sequence are refused, so their records can be dropped.
     low_water: Sequence,
 }
 
-/// What the ledger says to a dispatch.
+/// Whether a guard runs a dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DispatchDecision {
-    /// Run it.
+    /// Run the request.
     Run,
-    /// A copy of it is running.
+    /// A dispatch under the same ticket is running.
     AlreadyRunning,
-    /// It ended like this.
+    /// A dispatch under the same ticket ended with this outcome.
     Ended(Outcome),
-    /// It is stale, and has not run by this dispatch.
+    /// The dispatch is stale; it did not run.
     Stale,
 }
 
-/// The ledger of one guard.
+/// The dispatches under tickets that one guard has received.
 #[derive(Debug, Clone, Default)]
 pub struct DispatchLedger {
     /// Sorted by ticket.
-    lines: Vec<Line>,
-    /// Sorted by home and incarnation.
-    marks: Vec<HomeMark>,
+    records: Vec<DispatchRecord>,
+    /// One for each incarnation of a home, sorted by both.
+    marks: Vec<LowWaterMark>,
 }
 
 impl DispatchLedger {
-    /// Opens a line for a dispatch, or says why it must not run.
+    /// Records a dispatch as running, or returns why it must not run.
     pub fn start_dispatch(&mut self, leg: &TicketLeg) -> DispatchDecision {
-        self.hear(&leg.ticket, leg.low_water);
+        self.raise_low_water(&leg.ticket, leg.low_water);
         if leg.ticket.sequence < self.low_water(&leg.ticket) {
             return DispatchDecision::Stale;
         }
         let at = match self.find(&leg.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: DispatchState::Running };
-                self.lines.insert(at, line);
+                let record =
+                    DispatchRecord { ticket: leg.ticket.clone(), attempt: leg.attempt, state: DispatchState::Running };
+                self.records.insert(at, record);
                 return DispatchDecision::Run;
             }
             Ok(at) => at,
         };
-        let line = &mut self.lines[at];
-        match &line.entry {
+        let record = &mut self.records[at];
+        match &record.state {
             DispatchState::Running => DispatchDecision::AlreadyRunning,
             DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => DispatchDecision::Ended(it.clone()),
-            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked if leg.attempt <= line.attempt => {
+            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked if leg.attempt <= record.attempt => {
                 DispatchDecision::Stale
             }
             DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
-                line.attempt = leg.attempt;
-                line.entry = DispatchState::Running;
+                record.attempt = leg.attempt;
+                record.state = DispatchState::Running;
                 DispatchDecision::Run
             }
         }
     }
 
-    /// Ends a run.
+    /// Records the outcome of a run.
+    ///
+    /// # Panics
+    ///
+    /// If the ticket has no running dispatch.
     pub fn record_outcome(&mut self, ticket: &Ticket, outcome: Outcome) {
-        let at = self.find(ticket).expect("a line stays while its run is under way");
-        let line = &mut self.lines[at];
-        assert_eq!(line.entry, DispatchState::Running, "a run ends once");
-        line.entry = DispatchState::Ended(outcome);
+        let at = self.find(ticket).expect("the record of a running dispatch is kept");
+        let record = &mut self.records[at];
+        assert_eq!(record.state, DispatchState::Running, "a run ends once");
+        record.state = DispatchState::Ended(outcome);
     }
 
-    /// Makes sure that an attempt will not run any more, or says what became of it.
+    /// Prevents an attempt from running later, or returns that it is running or how it ended.
     pub fn revoke(&mut self, leg: &TicketLeg) -> RevokeReply {
-        self.hear(&leg.ticket, leg.low_water);
+        self.raise_low_water(&leg.ticket, leg.low_water);
         let at = match self.find(&leg.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: DispatchState::Revoked };
-                self.lines.insert(at, line);
+                let record =
+                    DispatchRecord { ticket: leg.ticket.clone(), attempt: leg.attempt, state: DispatchState::Revoked };
+                self.records.insert(at, record);
                 return RevokeReply::Revoked;
             }
             Ok(at) => at,
         };
-        let line = &mut self.lines[at];
-        match &line.entry {
+        let record = &mut self.records[at];
+        match &record.state {
             DispatchState::Running => RevokeReply::Running,
             DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => RevokeReply::Ended(it.clone()),
             DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
-                line.attempt = line.attempt.max(leg.attempt);
-                line.entry = DispatchState::Revoked;
+                record.attempt = record.attempt.max(leg.attempt);
+                record.state = DispatchState::Revoked;
                 RevokeReply::Revoked
             }
         }
     }
 
-    /// What is recorded of a ticket; for callers whose home is away.
+    /// The recorded status of a ticket, for callers that cannot reach its home.
     pub fn status(&self, ticket: &Ticket) -> TicketStatus {
-        match self.find(ticket).ok().map(|at| &self.lines[at].entry) {
+        match self.find(ticket).ok().map(|at| &self.records[at].state) {
             Some(DispatchState::Running) => TicketStatus::Running,
             Some(DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_)))) => {
                 TicketStatus::Ended(it.clone())
@@ -126,30 +134,30 @@
         }
     }
 
-    /// How many lines there are.
+    /// The number of tickets on record.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.records.len()
     }
 
-    /// Whether there are none.
+    /// Whether no tickets are on record.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.records.is_empty()
     }
 
-    /// How many lines are running.
+    /// The number of running dispatches.
     pub fn running(&self) -> usize {
-        self.lines.iter().filter(|it| it.entry == DispatchState::Running).count()
+        self.records.iter().filter(|it| it.state == DispatchState::Running).count()
     }
 
-    /// Notes a home's low-water sequence and drops the lines below it.
+    /// Raises the low-water mark of a home and drops the records below it, except running ones.
     ///
-    /// Those lines are never needed again: a late copy of their dispatch is refused by the mark.
-    fn hear(&mut self, ticket: &Ticket, low_water: Sequence) {
+    /// The mark itself refuses late copies of the dropped dispatches.
+    fn raise_low_water(&mut self, ticket: &Ticket, low_water: Sequence) {
         let at = match self.find_mark(ticket) {
             Ok(at) => at,
             Err(at) => {
                 let Ticket { home, incarnation, .. } = ticket.clone();
-                self.marks.insert(at, HomeMark { home, incarnation, low_water: 0 });
+                self.marks.insert(at, LowWaterMark { home, incarnation, low_water: 0 });
                 at
             }
         };
@@ -157,15 +165,15 @@
             return;
         }
         self.marks[at].low_water = low_water;
-        self.drop_below(ticket, low_water);
+        self.drop_records_below(ticket, low_water);
     }
 
-    fn drop_below(&mut self, ticket: &Ticket, low_water: Sequence) {
-        let from = self.lines.partition_point(|it| it.ticket < Ticket { sequence: 0, ..ticket.clone() });
-        let end = self.lines.partition_point(|it| it.ticket < Ticket { sequence: low_water, ..ticket.clone() });
-        let mut running: Vec<_> = self.lines.drain(from..end).collect();
-        running.retain(|it| it.entry == DispatchState::Running);
-        self.lines.splice(from..from, running);
+    fn drop_records_below(&mut self, ticket: &Ticket, low_water: Sequence) {
+        let from = self.records.partition_point(|it| it.ticket < Ticket { sequence: 0, ..ticket.clone() });
+        let end = self.records.partition_point(|it| it.ticket < Ticket { sequence: low_water, ..ticket.clone() });
+        let mut running: Vec<_> = self.records.drain(from..end).collect();
+        running.retain(|it| it.state == DispatchState::Running);
+        self.records.splice(from..from, running);
     }
 
     fn low_water(&self, ticket: &Ticket) -> Sequence {
@@ -173,11 +181,11 @@
     }
 
     fn find_mark(&self, ticket: &Ticket) -> Result<usize, usize> {
-        let wanted = (&ticket.home, ticket.incarnation);
-        self.marks.binary_search_by(|it| (&it.home, it.incarnation).cmp(&wanted))
+        let key = (&ticket.home, ticket.incarnation);
+        self.marks.binary_search_by(|it| (&it.home, it.incarnation).cmp(&key))
     }
 
     fn find(&self, ticket: &Ticket) -> Result<usize, usize> {
-        self.lines.binary_search_by(|it| it.ticket.cmp(ticket))
+        self.records.binary_search_by(|it| it.ticket.cmp(ticket))
     }
 }
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -1,4 +1,4 @@
-//! The home's records: one for each ticket that was used.
+//! The ticket home: the tickets that one daemon issued, with a record of each that was used.
 
 use std::{
     collections::VecDeque,
@@ -14,27 +14,27 @@
     wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketStatus},
 };
 
-/// How long a ticket is answered for after it was issued.
+/// How long a ticket can be used and queried after it was issued.
 pub const RECORD_RETENTION: Duration = Duration::from_secs(600);
-/// How far apart the marks are by which the low-water sequence follows time.
-const MARK_STEP: Duration = Duration::from_secs(1);
+/// The interval at which the next sequence is noted, to tell later which tickets are old.
+const MARK_INTERVAL: Duration = Duration::from_secs(1);
 
 static CHART: LazyLock<Chart<TicketState, TicketEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/ticket.toml")));
 
-/// Where a ticket stands (charts/ticket.toml).
+/// The state of a ticket (charts/ticket.toml).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TicketState {
-    /// Issued, and not used yet.
+    /// Issued, not used yet.
     Fresh,
-    /// A run is under way.
+    /// A run is in progress.
     Running,
-    /// It ran, and the answer is recorded.
+    /// It ran, and the response is recorded.
     Done,
     /// It did not run; it may be used again.
     NotRun,
-    /// It may have run; it never runs again.
+    /// It may have run, so it must not run again.
     Unknown,
 }
 
@@ -47,10 +47,10 @@
     Lost,
 }
 
-/// The guard and endpoint an attempt went to.
+/// The incarnation of a guard to which an attempt was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GuardIncarnation {
-    /// The daemon.
+    /// The guard's name.
     pub daemon: DaemonId,
     /// Its incarnation when the attempt was sent.
     pub incarnation: Incarnation,
@@ -61,66 +61,66 @@
     sequence: Sequence,
     fingerprint: Fingerprint,
     state: TicketState,
-    /// How many dispatches were sent; each has its own number.
+    /// The number of dispatches sent; also the number of the last one.
     attempts: u32,
-    /// Where the last attempt went.
+    /// Where the last attempt was sent.
     guard: Option<GuardIncarnation>,
-    /// Present in the states that have ended.
+    /// Present unless the ticket is running.
     outcome: Option<Arc<Outcome>>,
 }
 
-/// What a home says to a request under one of its tickets.
+/// Whether a request under a ticket may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginDecision {
-    /// Run it; nobody else does.
+    /// Run the request; no other run is in progress.
     Run,
-    /// Someone does; wait for the end.
+    /// Another run is in progress; wait for its outcome.
     AlreadyRunning,
-    /// It has ended like this.
+    /// A run under the ticket has ended with this outcome.
     Ended(Arc<Outcome>),
-    /// The ticket was used for another request.
+    /// The ticket was used for a different request.
     Mismatch,
-    /// The record is gone; never run.
+    /// The record has expired; the request must not run.
     Expired,
-    /// Another incarnation issued it; never run here.
+    /// Another daemon or incarnation issued the ticket; the request must not run here.
     IssuedElsewhere,
-    /// Nobody issued it; never run.
+    /// The sequence has not been issued; the request must not run.
     NeverIssued,
 }
 
-/// How many records there are, for metrics.
+/// The number of ticket records, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TicketCounts {
     /// All records.
     pub records: usize,
-    /// Those whose run is under way.
+    /// Records whose run is in progress.
     pub running: usize,
 }
 
-/// The records of one home.
+/// The tickets that one incarnation of a daemon issued.
 #[derive(Debug, Clone)]
 pub struct TicketHome {
     daemon: DaemonId,
     incarnation: Incarnation,
-    /// The next sequence to issue; all below were issued.
+    /// The next sequence to issue.
     next: Sequence,
-    /// No ticket below this is ever run.
+    /// No ticket with a lower sequence runs again.
     low_water: Sequence,
-    /// When sequences were issued: all below the second were issued before the first.
+    /// Times with the sequence that was next then: all lower sequences were issued earlier.
     marks: VecDeque<(Instant, Sequence)>,
     /// Sorted by sequence, none below the low-water sequence.
     records: Vec<Record>,
 }
 
 impl TicketHome {
-    /// A home that has issued nothing.
+    /// Creates a home that has issued no tickets.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
         Self { daemon, incarnation, next: 1, low_water: 1, marks: VecDeque::new(), records: Vec::new() }
     }
 
     /// Issues a ticket.
     pub fn issue(&mut self, now: Instant) -> Ticket {
-        let due = self.marks.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= MARK_STEP);
+        let due = self.marks.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= MARK_INTERVAL);
         if due {
             self.marks.push_back((now, self.next));
         }
@@ -129,12 +129,12 @@
         Ticket { home: self.daemon.clone(), incarnation: self.incarnation, sequence }
     }
 
-    /// The lowest sequence this home still answers for.
+    /// The lowest sequence that can still be used or queried.
     pub fn low_water(&self) -> Sequence {
         self.low_water
     }
 
-    /// Begins to run a ticket, or says why not.
+    /// Starts a run under `ticket`, or returns why it must not start.
     pub fn begin_run(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> BeginDecision {
         if ticket.home != self.daemon || ticket.incarnation != self.incarnation {
             return BeginDecision::IssuedElsewhere;
@@ -148,7 +148,7 @@
         let at = match self.find(ticket.sequence) {
             Ok(at) => at,
             Err(at) => {
-                self.records.insert(at, Record::fresh(ticket.sequence, fingerprint));
+                self.records.insert(at, Record::new(ticket.sequence, fingerprint));
                 at
             }
         };
@@ -156,7 +156,7 @@
         if record.fingerprint != fingerprint {
             return BeginDecision::Mismatch;
         }
-        if record.on(TicketEvent::Begin) {
+        if record.apply(TicketEvent::Begin) {
             record.outcome = None;
             return BeginDecision::Run;
         }
@@ -166,33 +166,38 @@
         }
     }
 
-    /// Notes that the running ticket is about to be sent to `guard`; returns the attempt's number.
+    /// Records that the running ticket is about to be sent to `guard`. Returns the number of the attempt, or `None` if
+    /// there is no record.
+    ///
+    /// # Panics
+    ///
+    /// If the ticket is not running.
     pub fn record_dispatch(&mut self, sequence: Sequence, guard: GuardIncarnation) -> Option<u32> {
-        let record = self.record(sequence)?;
-        assert_eq!(record.state, TicketState::Running, "only a running ticket is sent");
+        let record = self.record_mut(sequence)?;
+        assert_eq!(record.state, TicketState::Running, "only a running ticket is dispatched");
         record.attempts += 1;
         record.guard = Some(guard);
         Some(record.attempts)
     }
 
-    /// Ends a run, or clears up an unknown one. Returns what is recorded from now on.
+    /// Records how a run ended, or resolves an unknown outcome. Returns the outcome that is then on record.
     pub fn record_outcome(&mut self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
         let outcome = Arc::new(outcome);
-        let Some(record) = self.record(sequence) else { return outcome };
+        let Some(record) = self.record_mut(sequence) else { return outcome };
         let event = match &*outcome {
             Outcome::Done(_) => TicketEvent::Answered,
             Outcome::NotRun(_) => TicketEvent::Refused,
             Outcome::Unknown(_) => TicketEvent::Lost,
         };
-        if record.on(event) {
+        if record.apply(event) {
             record.outcome = Some(Arc::clone(&outcome));
         }
         record.outcome.clone().unwrap_or(outcome)
     }
 
-    /// What is known of a ticket.
+    /// The status of a ticket, as its callers may query it.
     pub fn status(&self, ticket: &Ticket) -> TicketStatus {
-        if !self.issued(ticket) {
+        if !self.has_issued(ticket) {
             return TicketStatus::NoRecord;
         }
         if ticket.sequence < self.low_water {
@@ -207,38 +212,39 @@
         }
     }
 
-    /// The unknown tickets that may still be cleared up, with their last attempt.
+    /// Tickets whose unknown outcome may still be resolved, with the number and guard of their last attempt.
     pub fn unresolved(&self) -> Vec<(Sequence, u32, GuardIncarnation)> {
         let unknown = self.records.iter().filter(|it| it.state == TicketState::Unknown);
-        let resolvable = unknown.filter(|it| !it.final_doubt());
+        let resolvable = unknown.filter(|it| !it.is_finally_unknown());
         resolvable.filter_map(|it| Some((it.sequence, it.attempts, it.guard.clone()?))).collect()
     }
 
-    /// Lets records expire: a ticket issued more than `KEEP_RECORDS` ago is never run again.
+    /// Raises the low-water sequence to exclude tickets issued more than `RECORD_RETENTION` ago, and removes the
+    /// records below it.
     ///
-    /// A run that is still under way holds the low-water sequence back.
+    /// The low-water sequence does not pass a ticket whose run is in progress.
     pub fn remove_expired(&mut self, now: Instant) {
         let mut low = self.low_water;
-        while let Some((_, until)) =
+        while let Some((_, mark)) =
             self.marks.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= RECORD_RETENTION)
         {
-            low = *until;
+            low = *mark;
             self.marks.pop_front();
         }
         let running = self.records.iter().find(|it| it.state == TicketState::Running);
         let low = running.map_or(low, |it| low.min(it.sequence));
-        let gone = self.records.partition_point(|it| it.sequence < low);
-        self.records.drain(..gone);
+        let expired = self.records.partition_point(|it| it.sequence < low);
+        self.records.drain(..expired);
         self.low_water = self.low_water.max(low);
     }
 
-    /// How many records there are.
+    /// Counts the records, for metrics.
     pub fn counts(&self) -> TicketCounts {
         let running = self.records.iter().filter(|it| it.state == TicketState::Running).count();
         TicketCounts { records: self.records.len(), running }
     }
 
-    fn issued(&self, ticket: &Ticket) -> bool {
+    fn has_issued(&self, ticket: &Ticket) -> bool {
         ticket.home == self.daemon && ticket.incarnation == self.incarnation && ticket.sequence < self.next
     }
 
@@ -246,24 +252,25 @@
         self.records.binary_search_by_key(&sequence, |it| it.sequence)
     }
 
-    fn record(&mut self, sequence: Sequence) -> Option<&mut Record> {
+    fn record_mut(&mut self, sequence: Sequence) -> Option<&mut Record> {
         self.find(sequence).ok().map(|at| &mut self.records[at])
     }
 }
 
 impl Record {
-    fn fresh(sequence: Sequence, fingerprint: Fingerprint) -> Self {
+    fn new(sequence: Sequence, fingerprint: Fingerprint) -> Self {
         Self { sequence, fingerprint, state: CHART.initial, attempts: 0, guard: None, outcome: None }
     }
 
-    fn on(&mut self, event: TicketEvent) -> bool {
+    /// Changes the state if the chart has a transition for `event`; returns whether it has.
+    fn apply(&mut self, event: TicketEvent) -> bool {
         let next = CHART.next(self.state, event);
         self.state = next.unwrap_or(self.state);
         next.is_some()
     }
 
-    /// Whether the guard has said all it will ever know; asking again is in vain.
-    fn final_doubt(&self) -> bool {
+    /// Whether the outcome stays unknown: the guard cannot say more when asked again.
+    fn is_finally_unknown(&self) -> bool {
         matches!(self.outcome.as_deref(), Some(Outcome::Unknown(Doubt::GuardForgot | Doubt::EndpointSilent)))
     }
 }
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -1,7 +1,6 @@
-//! At most once without a store: the home's records and the guard's ledger. Pure code.
+//! At-most-once execution without a shared store: the ticket home's records and the guard's ledger. Pure code.
 //!
-//! The home is named in the ticket, so no two daemons can hold themselves to be the one that
-//! decides. See docs/DESIGN.md, tickets.
+//! A ticket names the daemon that issued it, so exactly one daemon decides whether its request may run.
 
 mod dispatch_ledger;
 mod home;
--- a/src/ticket/next_step.rs
+++ b/src/ticket/next_step.rs
@@ -1,30 +1,30 @@
-//! What a home concludes from a guard's words and from its silence.
+//! Decides how a ticket home proceeds after a guard's reply or a connection failure.
 
 use crate::wire::{Doubt, Outcome, Refusal, RevokeReply};
 
-/// What the home does next.
+/// What the ticket home does next about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
-    /// The run has ended like this.
+    /// The run has ended with this outcome.
     Finish(Outcome),
-    /// The attempt did not run and will not: another guard may be tried.
+    /// The attempt did not run and never will: another guard may be tried.
     TryAnotherGuard(Refusal),
-    /// Ask the same guard what became of the attempt.
+    /// Ask the same guard how the attempt ended.
     QueryAttempt,
 }
 
-/// How a call to a guard went wrong.
+/// How a call to a guard failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// The connection was refused: the guard never saw the call.
+    /// The connection was refused: the guard did not receive the call.
     Refused,
-    /// This daemon has no port left for a connection; nothing was sent.
+    /// This daemon has no free local port for a connection: nothing was sent.
     NoLocalPort,
-    /// The call may have reached the guard.
+    /// The connection was lost or timed out: the guard may have received the call.
     Lost,
 }
 
-/// Judges a guard's answer to a dispatch.
+/// The next step after a guard's reply to a dispatch.
 pub fn step_after_reply(outcome: Outcome) -> NextStep {
     match outcome {
         Outcome::NotRun(refusal) => NextStep::TryAnotherGuard(refusal),
@@ -33,16 +33,16 @@
     }
 }
 
-/// Judges the lack of an answer to a dispatch. Only a refused connection proves anything.
-pub fn step_after_connection_failure(silence: ConnectionFailure) -> NextStep {
-    match silence {
+/// The next step after a dispatch without a reply. Another guard may be tried only if nothing was delivered.
+pub fn step_after_connection_failure(failure: ConnectionFailure) -> NextStep {
+    match failure {
         ConnectionFailure::Refused => NextStep::TryAnotherGuard(Refusal::GuardUnreachable),
         ConnectionFailure::NoLocalPort => NextStep::TryAnotherGuard(Refusal::Overloaded),
         ConnectionFailure::Lost => NextStep::QueryAttempt,
     }
 }
 
-/// Judges a guard's answer to a revoke.
+/// The next step after a guard's reply to a revoke.
 pub fn step_after_revoke(reply: RevokeReply) -> NextStep {
     match reply {
         RevokeReply::Ended(outcome) => NextStep::Finish(outcome),
