--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and targets: all findings at once, each with its place.
+//! Parsing of settings and targets: all findings are reported together, each with its place.
 
 use jayreach::{
     settings::Settings,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn all_findings_come_at_once_with_their_places() {
+fn all_findings_are_reported_with_their_places() {
     let text = "[class.charge]\nlateness = \"2 weeks\"\nimportance = 900\nidempotent = false\n\
                 [[route]]\nprefix = \"billing\"\nservice = \"none\"\nclass = \"charge\"\n";
 
@@ -35,11 +35,7 @@
 #[case("weight", "3", "the system chooses the weights")]
 #[case("address", "\"10.0.0.1:80\"", "endpoints announce themselves")]
 #[case("colour", "\"red\"", "unknown key")]
-fn keys_that_operators_may_not_set_are_refused_with_a_reason(
-    #[case] key: &str,
-    #[case] value: &str,
-    #[case] reason: &str,
-) {
+fn forbidden_and_unknown_keys_are_rejected_with_a_reason(#[case] key: &str, #[case] value: &str, #[case] reason: &str) {
     let text = good_targets().replace("floor_percent", &format!("{key} = {value}\nfloor_percent"));
 
     let found = findings(&text);
@@ -49,19 +45,19 @@
 }
 
 #[test]
-fn syntax_errors_are_findings_too() {
+fn syntax_errors_are_reported_as_findings() {
     let found = findings("[class.charge\nlateness = \n");
 
     assert!(found.iter().any(|it| it.0 == 1), "{found:?}");
 }
 
 #[test]
-fn targets_survive_being_written_and_cut_into_parts() {
+fn targets_round_trip_through_toml_and_parts() {
     let targets = parse_targets("t.toml", &good_targets()).expect("good targets").targets;
 
-    let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("what we write, we read");
+    let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("written targets can be parsed");
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
-    let joined = join("parts", &parts).expect("parts we made");
+    let joined = join("parts", &parts).expect("parts made by split");
 
     assert_eq!(read_back.based_on, Some(7));
     assert_eq!(read_back.targets, targets);
@@ -75,21 +71,21 @@
 #[case("/billing/chargesheet", Some("/billing"))]
 #[case("/billings", None)]
 #[case("/", None)]
-fn a_route_is_the_longest_prefix_of_whole_segments(#[case] path: &str, #[case] wanted: Option<&str>) {
+fn a_path_matches_the_longest_prefix_of_whole_segments(#[case] path: &str, #[case] wanted: Option<&str>) {
     let charges =
         "[[route]]\nprefix = \"/billing/charges\"\nservice = \"billing\"\nclass = \"charge\"\npublic = true\n";
     let targets = parse_targets("t.toml", &(good_targets() + charges)).expect("good targets").targets;
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
 
-    let directory = ConfigIndex::build("parts", &parts).expect("parts we made");
+    let index = ConfigIndex::build("parts", &parts).expect("parts made by split");
 
     // Only the longer prefix is public.
-    let found = directory.route(path).map(|it| if it.public { "/billing/charges" } else { "/billing" });
+    let found = index.route(path).map(|it| if it.public { "/billing/charges" } else { "/billing" });
     assert_eq!(found, wanted);
 }
 
 #[test]
-fn a_difference_names_what_changed() {
+fn a_difference_names_the_changed_item() {
     let old = parse_targets("t.toml", &good_targets()).expect("good targets").targets;
     let new = parse_targets("t.toml", &good_targets().replace("2s", "3s")).expect("good targets").targets;
 
@@ -100,13 +96,13 @@
 }
 
 #[test]
-fn settings_report_every_finding() {
+fn all_findings_of_settings_are_reported() {
     let text = "name = \"vm 1\"\ndata_centre = \"dc-1\"\ncallers = \"here\"\npeer_key = \"short\"\nspeed = 9\n";
 
     let findings = Settings::parse("s.toml", text).expect_err("the settings have findings");
 
     let lines: Vec<_> = findings.as_slice().iter().map(|it| it.place.line).collect();
     let missing = lines.iter().filter(|it| **it == 1).count();
-    assert_eq!(missing, 4, "the bad name and three missing keys: {findings}");
+    assert_eq!(missing, 4, "the invalid name and three missing keys: {findings}");
     assert!([3, 4, 5].iter().all(|it| lines.contains(it)), "{findings}");
 }
