--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -1,6 +1,6 @@
-//! At most once, over lost, late, doubled and reordered messages and restarts at any step.
+//! At-most-once execution under lost, late, duplicated and reordered messages and restarts at any step.
 //!
-//! Each mechanism is also switched off in turn, and the check must then find a violation.
+//! With any one of the mechanisms disabled, the check must find a violation.
 
 use std::{
     sync::Arc,
@@ -22,23 +22,23 @@
 const TICKETS: usize = 4;
 const GUARDS: usize = 2;
 
-/// A mechanism that a run may do without.
+/// The mechanism that is disabled in a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
+enum Disabled {
     Nothing,
     Tombstones,
     Incarnations,
-    AskingBeforeAnotherGuard,
-    TruthAfterRestart,
+    QueryBeforeAnotherGuard,
+    RecordLossReport,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Action {
-    Ask(usize),
+    StartRequest(usize),
     Deliver(usize),
     Lose(usize),
-    Double(usize),
-    GiveUpWaiting(usize),
+    Duplicate(usize),
+    FailConnection(usize),
     DeadlinePasses(usize),
     Resolve,
     Finish(usize, Ending),
@@ -54,8 +54,8 @@
     Refused,
 }
 
-/// A copy of a dispatch comes after the first one or instead of it, and nobody waits for its
-/// reply: a reply is taken only from the connection to which the request was written, once.
+/// A message in the network. A copy of a dispatch arrives after the original or instead of it. Its reply is not awaited:
+/// the home reads one reply, from the connection on which it wrote the request.
 #[derive(Debug, Clone)]
 enum Message {
     Dispatch { guard: usize, incarnation: u64, leg: TicketLeg, awaited: bool },
@@ -64,7 +64,7 @@
     Revoked { leg: TicketLeg, reply: RevokeReply },
 }
 
-/// A home's run under way: the attempt it waits for.
+/// A run in progress at the home: the attempt whose reply it awaits.
 #[derive(Debug, Clone)]
 struct Run {
     leg: TicketLeg,
@@ -73,35 +73,35 @@
     incarnation: u64,
 }
 
-struct GuardModel {
+struct SimulatedGuard {
     incarnation: u64,
     ledger: DispatchLedger,
     running: Vec<TicketLeg>,
 }
 
-struct World {
-    without: Without,
+struct Simulation {
+    disabled: Disabled,
     now: Instant,
     home: TicketHome,
     home_incarnation: u64,
     tickets: Vec<Ticket>,
     runs: Vec<Option<Run>>,
-    guards: Vec<GuardModel>,
+    guards: Vec<SimulatedGuard>,
     network: Vec<Message>,
-    /// How often each ticket's work really ran.
+    /// How many times the request of each ticket ran at an endpoint.
     ran: Vec<(Ticket, u32)>,
-    /// Tickets whose callers were told "not run", and that nobody has asked for again.
+    /// Tickets with the outcome "not run" that have not been used again since.
     not_run: Vec<Ticket>,
 }
 
 fn action() -> impl Strategy<Value = Action> {
     let ending = prop_oneof![Just(Ending::Answered), Just(Ending::Silent), Just(Ending::Refused)];
     prop_oneof![
-        4 => (0..TICKETS).prop_map(Action::Ask),
+        4 => (0..TICKETS).prop_map(Action::StartRequest),
         8 => any::<usize>().prop_map(Action::Deliver),
         2 => any::<usize>().prop_map(Action::Lose),
-        2 => any::<usize>().prop_map(Action::Double),
-        3 => (0..TICKETS).prop_map(Action::GiveUpWaiting),
+        2 => any::<usize>().prop_map(Action::Duplicate),
+        3 => (0..TICKETS).prop_map(Action::FailConnection),
         1 => (0..TICKETS).prop_map(Action::DeadlinePasses),
         2 => Just(Action::Resolve),
         4 => ((0..GUARDS), ending).prop_map(|(guard, ending)| Action::Finish(guard, ending)),
@@ -115,11 +115,11 @@
     Outcome::Done(Answer { status: 200, headers: Vec::new(), body: Vec::new() })
 }
 
-impl World {
-    fn new(without: Without) -> Self {
-        let guards = (0..GUARDS).map(|_| GuardModel::new(1)).collect();
-        let mut world = Self {
-            without,
+impl Simulation {
+    fn new(disabled: Disabled) -> Self {
+        let guards = (0..GUARDS).map(|_| SimulatedGuard::new(1)).collect();
+        let mut simulation = Self {
+            disabled,
             now: Instant::now(),
             home: TicketHome::new("home".into(), 1),
             home_incarnation: 1,
@@ -130,8 +130,8 @@
             ran: Vec::new(),
             not_run: Vec::new(),
         };
-        world.issue();
-        world
+        simulation.issue();
+        simulation
     }
 
     fn issue(&mut self) {
@@ -141,25 +141,25 @@
 
     fn step(&mut self, action: Action) -> Result<(), String> {
         match action {
-            Action::Ask(at) => self.ask(at),
+            Action::StartRequest(at) => self.start_request(at),
             Action::Deliver(at) => self.deliver(at),
             Action::Lose(at) => self.take(at).map_or(Ok(()), |_| Ok(())),
-            Action::Double(at) => {
+            Action::Duplicate(at) => {
                 let copy = (!self.network.is_empty()).then(|| self.network[at % self.network.len()].clone());
                 self.network.extend(copy.map(Message::unawaited));
                 Ok(())
             }
-            Action::GiveUpWaiting(at) => self.silence(at),
+            Action::FailConnection(at) => self.fail_connection(at),
             Action::DeadlinePasses(at) => match self.runs[at].take() {
-                Some(run) => self.settle(run.leg.ticket.sequence, Outcome::Unknown(Doubt::GuardSilent)),
+                Some(run) => self.record_outcome(run.leg.ticket.sequence, Outcome::Unknown(Doubt::GuardSilent)),
                 None => Ok(()),
             },
             Action::Resolve => self.resolve(),
             Action::Finish(guard, ending) => self.finish(guard, ending),
             Action::RestartGuard(at) => {
-                // The endpoint goes on with what it was given, and nobody hears of it.
+                // The endpoint finishes the requests that were running; their responses are lost.
                 let orphans = std::mem::take(&mut self.guards[at].running);
-                self.guards[at] = GuardModel::new(self.guards[at].incarnation + 1);
+                self.guards[at] = SimulatedGuard::new(self.guards[at].incarnation + 1);
                 orphans.iter().try_for_each(|it| self.count_run(&it.ticket))
             }
             Action::RestartHome => {
@@ -171,14 +171,14 @@
             Action::TimePasses => {
                 self.now += RECORD_RETENTION.mul_f64(0.6);
                 self.home.remove_expired(self.now);
-                // Marks follow time only while tickets are issued.
+                // Issuing a ticket adds a mark, without which later calls cannot expire records.
                 self.home.issue(self.now);
                 Ok(())
             }
         }
     }
 
-    fn ask(&mut self, at: usize) -> Result<(), String> {
+    fn start_request(&mut self, at: usize) -> Result<(), String> {
         let ticket = self.tickets[at].clone();
         if self.home.begin_run(&ticket, 7) == BeginDecision::Run {
             self.not_run.retain(|it| *it != ticket);
@@ -212,7 +212,7 @@
         match self.take(at) {
             None => Ok(()),
             Some(Message::Dispatch { guard, incarnation, leg, awaited }) => {
-                let reply = self.at_guard(guard, incarnation, &leg);
+                let reply = self.dispatch_at_guard(guard, incarnation, &leg);
                 self.network.extend(reply.filter(|_| awaited).map(|outcome| Message::Reply { leg, outcome }));
                 Ok(())
             }
@@ -221,15 +221,15 @@
                 self.network.push(Message::Revoked { leg, reply });
                 Ok(())
             }
-            Some(Message::Reply { leg, outcome }) => self.conclude(&leg, step_after_reply(outcome)),
-            Some(Message::Revoked { leg, reply }) => self.conclude(&leg, step_after_revoke(reply)),
+            Some(Message::Reply { leg, outcome }) => self.apply_step(&leg, step_after_reply(outcome)),
+            Some(Message::Revoked { leg, reply }) => self.apply_step(&leg, step_after_revoke(reply)),
         }
     }
 
-    /// The guard's reply, unless a run begins, which replies at its end.
-    fn at_guard(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> Option<Outcome> {
+    /// Returns the guard's reply, or `None` if a run starts; its reply is sent when the run ends.
+    fn dispatch_at_guard(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> Option<Outcome> {
         let it = &mut self.guards[guard];
-        if it.incarnation != incarnation && self.without != Without::Incarnations {
+        if it.incarnation != incarnation && self.disabled != Disabled::Incarnations {
             return Some(Outcome::NotRun(Refusal::StaleDispatch));
         }
         match it.ledger.start_dispatch(leg) {
@@ -245,10 +245,10 @@
 
     fn revoke(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> RevokeReply {
         let it = &mut self.guards[guard];
-        if it.incarnation != incarnation && self.without != Without::TruthAfterRestart {
+        if it.incarnation != incarnation && self.disabled != Disabled::RecordLossReport {
             return RevokeReply::NoMemory;
         }
-        if self.without == Without::Tombstones {
+        if self.disabled == Disabled::Tombstones {
             return it.ledger.clone().revoke(leg);
         }
         it.ledger.revoke(leg)
@@ -271,7 +271,7 @@
 
     fn count_run(&mut self, ticket: &Ticket) -> Result<(), String> {
         if self.not_run.contains(ticket) {
-            return Err(format!("{ticket} ran after its caller was told that it did not"));
+            return Err(format!("{ticket} ran after the outcome not run"));
         }
         let at = match self.ran.iter().position(|it| it.0 == *ticket) {
             Some(at) => at,
@@ -284,37 +284,37 @@
         if self.ran[at].1 > 1 { Err(format!("{ticket} ran twice")) } else { Ok(()) }
     }
 
-    /// The home concludes from an answer; one to an older attempt is nobody's any more.
-    fn conclude(&mut self, leg: &TicketLeg, verdict: NextStep) -> Result<(), String> {
+    /// Applies the home's next step; a reply to an older attempt is ignored.
+    fn apply_step(&mut self, leg: &TicketLeg, step: NextStep) -> Result<(), String> {
         let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.leg == *leg);
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
         let run = self.runs[at].take().expect("the position has a run");
-        match verdict {
-            NextStep::Finish(outcome) => self.settle(leg.ticket.sequence, outcome),
+        match step {
+            NextStep::Finish(outcome) => self.record_outcome(leg.ticket.sequence, outcome),
             NextStep::TryAnotherGuard(_) if leg.attempt < 3 => {
                 self.attempt(at, &leg.ticket, (run.guard + 1) % GUARDS);
                 Ok(())
             }
-            NextStep::TryAnotherGuard(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
+            NextStep::TryAnotherGuard(refusal) => self.record_outcome(leg.ticket.sequence, Outcome::NotRun(refusal)),
             NextStep::QueryAttempt => {
-                self.ask_guard(&run);
+                self.send_revoke(&run);
                 self.runs[at] = Some(run);
                 Ok(())
             }
         }
     }
 
-    fn ask_guard(&mut self, run: &Run) {
+    fn send_revoke(&mut self, run: &Run) {
         let Run { leg, guard, incarnation } = run.clone();
         self.network.push(Message::Revoke { guard, incarnation, leg });
     }
 
-    fn silence(&mut self, at: usize) -> Result<(), String> {
+    fn fail_connection(&mut self, at: usize) -> Result<(), String> {
         let Some(run) = self.runs[at].clone() else { return Ok(()) };
-        if self.without == Without::AskingBeforeAnotherGuard {
-            return self.conclude(&run.leg, NextStep::TryAnotherGuard(Refusal::GuardUnreachable));
+        if self.disabled == Disabled::QueryBeforeAnotherGuard {
+            return self.apply_step(&run.leg, NextStep::TryAnotherGuard(Refusal::GuardUnreachable));
         }
-        self.conclude(&run.leg, step_after_connection_failure(ConnectionFailure::Lost))
+        self.apply_step(&run.leg, step_after_connection_failure(ConnectionFailure::Lost))
     }
 
     fn resolve(&mut self) -> Result<(), String> {
@@ -323,21 +323,21 @@
             let leg = TicketLeg { ticket, attempt, low_water: self.home.low_water() };
             let at: usize = guard.daemon.parse().expect("guards are numbered");
             match step_after_revoke(self.revoke(at, guard.incarnation, &leg)) {
-                NextStep::Finish(outcome) => self.settle(sequence, outcome)?,
-                NextStep::TryAnotherGuard(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
+                NextStep::Finish(outcome) => self.record_outcome(sequence, outcome)?,
+                NextStep::TryAnotherGuard(refusal) => self.record_outcome(sequence, Outcome::NotRun(refusal))?,
                 NextStep::QueryAttempt => (),
             }
         }
         Ok(())
     }
 
-    fn settle(&mut self, sequence: Sequence, outcome: Outcome) -> Result<(), String> {
-        let told = Arc::unwrap_or_clone(self.home.record_outcome(sequence, outcome));
+    fn record_outcome(&mut self, sequence: Sequence, outcome: Outcome) -> Result<(), String> {
+        let recorded = Arc::unwrap_or_clone(self.home.record_outcome(sequence, outcome));
         let ticket = Ticket { home: "home".into(), incarnation: self.home_incarnation, sequence };
         let ran = self.ran.iter().find(|it| it.0 == ticket).map_or(0, |it| it.1);
-        match told {
-            Outcome::NotRun(_) if ran > 0 => Err(format!("{ticket} was told not run, but ran")),
-            Outcome::Done(_) if ran == 0 => Err(format!("{ticket} was told done, but did not run")),
+        match recorded {
+            Outcome::NotRun(_) if ran > 0 => Err(format!("{ticket} has the outcome not run, but ran")),
+            Outcome::Done(_) if ran == 0 => Err(format!("{ticket} has the outcome done, but did not run")),
             Outcome::NotRun(_) => {
                 self.not_run.push(ticket);
                 Ok(())
@@ -358,14 +358,14 @@
     }
 }
 
-impl GuardModel {
+impl SimulatedGuard {
     fn new(incarnation: u64) -> Self {
         Self { incarnation, ledger: DispatchLedger::default(), running: Vec::new() }
     }
 }
 
-/// Runs random schedules; the shortest one that breaks a promise, if there is one.
-fn find_violation(without: Without, cases: u32) -> Option<String> {
+/// Runs random schedules; returns the shortest that violates at-most-once execution, if any.
+fn find_violation(disabled: Disabled, cases: u32) -> Option<String> {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(
         config,
@@ -373,9 +373,9 @@
     );
     let schedules = prop::collection::vec(action(), 1..120);
     let result = runner.run(&schedules, |schedule| {
-        let mut world = World::new(without);
+        let mut simulation = Simulation::new(disabled);
         for action in schedule {
-            world.step(action).map_err(TestCaseError::fail)?;
+            simulation.step(action).map_err(TestCaseError::fail)?;
         }
         Ok(())
     });
@@ -383,21 +383,21 @@
 }
 
 #[test]
-fn no_schedule_breaks_a_promise() {
-    let violation = find_violation(Without::Nothing, 20_000);
+fn no_schedule_violates_at_most_once() {
+    let violation = find_violation(Disabled::Nothing, 20_000);
 
     assert_eq!(violation, None);
 }
 
 #[rstest::rstest]
-#[case(Without::Tombstones)]
-#[case(Without::Incarnations)]
-#[case(Without::AskingBeforeAnotherGuard)]
-#[case(Without::TruthAfterRestart)]
-fn without_a_mechanism_some_schedule_breaks_a_promise(#[case] without: Without) {
-    let violation = find_violation(without, 20_000);
-
-    assert!(violation.is_some(), "{without:?} is not needed, or the check is blind to it");
+#[case(Disabled::Tombstones)]
+#[case(Disabled::Incarnations)]
+#[case(Disabled::QueryBeforeAnotherGuard)]
+#[case(Disabled::RecordLossReport)]
+fn each_mechanism_is_needed_for_at_most_once(#[case] disabled: Disabled) {
+    let violation = find_violation(disabled, 20_000);
+
+    assert!(violation.is_some(), "{disabled:?} is not needed, or the check does not detect its absence");
 }
 
 #[test]
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn a_late_dispatch_is_refused_after_its_tombstone_was_dropped() {
+fn a_late_dispatch_is_refused_after_its_tombstone_was_removed() {
     let ticket = |sequence| Ticket { home: "home".into(), incarnation: 1, sequence };
     let leg = |sequence, low_water| TicketLeg { ticket: ticket(sequence), attempt: 1, low_water };
     let mut ledger = DispatchLedger::default();
@@ -429,5 +429,5 @@
 
     assert_eq!(opened, DispatchDecision::Run);
     assert_eq!(late, DispatchDecision::Stale);
-    assert_eq!(ledger.len(), 1, "only the running one is left");
+    assert_eq!(ledger.len(), 1, "only the running dispatch is on record");
 }
