--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -16,7 +16,7 @@
         ingress::Order,
     },
     targets::{Class, Found},
-    wire::{Answer, Doubt, Header, Outcome, Refusal, Ticket, TicketStatus, Work},
+    wire::{CallerRequest, EndpointResponse, Header, Outcome, Refusal, Ticket, TicketStatus, UnknownReason},
 };
 
 /// How many tickets one call may ask for.
@@ -96,7 +96,7 @@
     path: Box<str>,
     deadline: Instant,
     ticket: Option<Ticket>,
-    work: Work,
+    work: CallerRequest,
 }
 
 fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<Prepared, Refusal> {
@@ -114,7 +114,7 @@
         BodyError::TooLarge => Refusal::TooLarge,
         BodyError::Broken => Refusal::BadRequest,
     })?;
-    let work = Work {
+    let work = CallerRequest {
         method: req.method().as_str().into(),
         target: req.target().into(),
         headers: passed_on(req, found.public),
@@ -199,12 +199,12 @@
     match outcome {
         Outcome::Done(answer) => tell_answer(req, answer),
         Outcome::NotRun(refusal) => refuse(req, refusal, None),
-        Outcome::Unknown(doubt @ Doubt::TicketExpired) => tell_doubt(req, 410, doubt),
+        Outcome::Unknown(doubt @ UnknownReason::TicketExpired) => tell_doubt(req, 410, doubt),
         Outcome::Unknown(doubt) => tell_doubt(req, 504, doubt),
     }
 }
 
-fn tell_answer(req: Request, answer: Answer) {
+fn tell_answer(req: Request, answer: EndpointResponse) {
     let kept = answer.headers.iter().filter(|it| !is_hop_header(&it.name));
     let mut headers: Vec<(&str, &str)> = kept.map(|it| (&*it.name, &*it.value)).collect();
     headers.retain(|it| !it.0.eq_ignore_ascii_case("jayreach-outcome"));
@@ -212,10 +212,10 @@
     respond(req, answer.status, &headers, answer.body);
 }
 
-fn tell_doubt(req: Request, status: u16, doubt: Doubt) {
+fn tell_doubt(req: Request, status: u16, doubt: UnknownReason) {
     let message = match doubt {
-        Doubt::TicketExpired => "the ticket's record is gone; it never runs again",
-        Doubt::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
+        UnknownReason::TicketExpired => "the ticket's record is gone; it never runs again",
+        UnknownReason::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
         _ => "the work may have run; ask again with the same ticket, or GET /.jayreach/tickets/TICKET",
     };
     let told = Told { outcome: "unknown", reason: doubt, message };
@@ -229,8 +229,8 @@
     let ticket = req.header("Jayreach-Ticket").and_then(|it| it.parse::<Ticket>().ok());
     match ticket {
         Some(ticket) if may_have_run(&ticket) => match describe(refusal).0 {
-            503 => tell_doubt(req, 504, Doubt::TicketUsed),
-            status => tell_doubt(req, status, Doubt::TicketUsed),
+            503 => tell_doubt(req, 504, UnknownReason::TicketUsed),
+            status => tell_doubt(req, status, UnknownReason::TicketUsed),
         },
         _ => refuse(req, refusal, None),
     }
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -8,7 +8,7 @@
     daemon::http_client::{Client, Connection, Reply},
     decide::Sample,
     ticket::Silence,
-    wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
+    wire::{CallerRequest, Dispatch, EndpointResponse, Header, Outcome, Refusal, UnknownReason},
 };
 
 /// How long telling an endpoint that a request is cancelled may take.
@@ -39,7 +39,7 @@
 }
 
 fn request(dispatch: &Dispatch, left: Duration) -> Option<Request<Vec<u8>>> {
-    let Work { method, target, headers, body } = &dispatch.work;
+    let CallerRequest { method, target, headers, body } = &dispatch.work;
     let mut req = Request::builder().method(&**method).uri(format!("http://{}{target}", dispatch.endpoint));
     for Header { name, value } in headers {
         req = req.header(&**name, &**value);
@@ -58,11 +58,11 @@
         Called::Answered(reply) => {
             let sample = if reply.status >= 500 { Sample::Bad } else { Sample::Good };
             let Reply { status, headers, body } = reply;
-            (Outcome::Done(Answer { status, headers, body }), Some(sample))
+            (Outcome::Done(EndpointResponse { status, headers, body }), Some(sample))
         }
         Called::Silent(Silence::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
         Called::Silent(Silence::Refused) => (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad)),
-        Called::Silent(Silence::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
+        Called::Silent(Silence::Lost) => (Outcome::Unknown(UnknownReason::EndpointSilent), Some(Sample::Bad)),
     }
 }
 
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -21,7 +21,7 @@
     targets::Weighs,
     ticket::{Ledger, Opening},
     util::lock,
-    wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
+    wire::{Dispatch, DispatchReply, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus, UnknownReason},
 };
 
 /// After so long a silence an endpoint gets no new work (issue 3, towards endpoints).
@@ -190,7 +190,7 @@
         };
         match lock(&self.inner).ledger.open(leg) {
             Opening::Run => (),
-            Opening::Running => return Outcome::Unknown(Doubt::StillRunning),
+            Opening::Running => return Outcome::Unknown(UnknownReason::StillRunning),
             Opening::Ended(outcome) => return outcome,
             Opening::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
@@ -217,7 +217,7 @@
         };
         let now = Instant::now();
         let measure = (hooks.measure)(&dispatch.endpoint);
-        if outcome == Outcome::Unknown(Doubt::EndpointSilent) {
+        if outcome == Outcome::Unknown(UnknownReason::EndpointSilent) {
             // The endpoint's slot stays in use until the cancellation has reached it.
             endpoint::cancel(client, dispatch);
         }
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -22,8 +22,8 @@
     targets::Importance,
     ticket::{Begin, GuardRef, Silence, Verdict, judge_reply, judge_revoke, judge_silence},
     wire::{
-        Dispatch, DispatchReply, Doubt, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket, TicketLeg,
-        TicketQuery, TicketStatus, Work,
+        CallerRequest, Dispatch, DispatchReply, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket,
+        TicketLeg, TicketQuery, TicketStatus, UnknownReason,
     },
 };
 
@@ -66,7 +66,7 @@
 /// One attempt at a request.
 struct Attempt<'a> {
     order: Order<'a>,
-    work: &'a Work,
+    work: &'a CallerRequest,
     /// Present exactly if the class is not idempotent.
     leg: Option<TicketLeg>,
     connection: Connection,
@@ -76,7 +76,7 @@
 
 impl Daemon {
     /// Runs idempotent work.
-    pub(crate) fn run_idempotent(&self, order: Order<'_>, work: &Work) -> Outcome {
+    pub(crate) fn run_idempotent(&self, order: Order<'_>, work: &CallerRequest) -> Outcome {
         self.budgets.earn(order.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
@@ -109,7 +109,7 @@
             Ok(reply) => reply.outcome,
             Err(Silence::Refused) => Outcome::NotRun(Refusal::GuardUnreachable),
             Err(Silence::NoLocalPort) => Outcome::NotRun(Refusal::Overloaded),
-            Err(Silence::Lost) => Outcome::Unknown(Doubt::GuardSilent),
+            Err(Silence::Lost) => Outcome::Unknown(UnknownReason::GuardSilent),
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Runs work under a ticket: here if this is its home, else there.
-    pub(crate) fn run_ticketed(&self, order: Order<'_>, ticket: &Ticket, work: Work) -> Outcome {
+    pub(crate) fn run_ticketed(&self, order: Order<'_>, ticket: &Ticket, work: CallerRequest) -> Outcome {
         let forward = Forward {
             ticket: ticket.clone(),
             budget_ms: order.left().as_millis() as u64,
@@ -166,7 +166,7 @@
         match self.peers.forward(address, &forward, order.left() + GRACE) {
             Ok(outcome) => outcome,
             Err(Silence::Refused | Silence::NoLocalPort) => self.ask_ledgers(order, ticket),
-            Err(Silence::Lost) => Outcome::Unknown(Doubt::HomeUnreachable),
+            Err(Silence::Lost) => Outcome::Unknown(UnknownReason::HomeUnreachable),
         }
     }
 
@@ -184,16 +184,16 @@
                 Outcome::clone(&self.home.settle(forward.ticket.sequence, outcome))
             }
             Begin::Ended(outcome) => Outcome::clone(&outcome),
-            Begin::Join => Outcome::Unknown(Doubt::StillRunning),
+            Begin::Join => Outcome::Unknown(UnknownReason::StillRunning),
             Begin::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
-            Begin::Expired => Outcome::Unknown(Doubt::TicketExpired),
+            Begin::Expired => Outcome::Unknown(UnknownReason::TicketExpired),
             Begin::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
             Begin::Foreign => self.ask_ledgers(order, &forward.ticket),
         }
     }
 
     /// Sends work under a running ticket, to another guard only when the last attempt can't run.
-    fn run_attempts(&self, order: Order<'_>, ticket: &Ticket, work: &Work) -> Outcome {
+    fn run_attempts(&self, order: Order<'_>, ticket: &Ticket, work: &CallerRequest) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
         self.budgets.earn(order.class);
@@ -209,7 +209,7 @@
             match self.run_attempt(order, ticket, work, &target) {
                 Verdict::Settle(outcome) => return outcome,
                 Verdict::TryAnother(refusal) => last = refusal,
-                Verdict::Ask => return Outcome::Unknown(Doubt::GuardSilent),
+                Verdict::Ask => return Outcome::Unknown(UnknownReason::GuardSilent),
             }
             tried.push(target);
         }
@@ -217,7 +217,7 @@
     }
 
     /// One attempt, and asking about it until it is decided or the time is up.
-    fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> Verdict {
+    fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &CallerRequest, target: &Arc<Target>) -> Verdict {
         let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
         let Some(leg) = self.home.dispatch(ticket, guard) else {
             return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
@@ -285,11 +285,11 @@
             }
             match self.ask_ledger(&guard, ticket) {
                 Some(TicketStatus::Ended(outcome)) => return outcome,
-                Some(TicketStatus::Running) => return Outcome::Unknown(Doubt::StillRunning),
+                Some(TicketStatus::Running) => return Outcome::Unknown(UnknownReason::StillRunning),
                 Some(TicketStatus::Fresh | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
             }
         }
-        Outcome::Unknown(Doubt::HomeUnreachable)
+        Outcome::Unknown(UnknownReason::HomeUnreachable)
     }
 
     fn ask_ledger(&self, guard: &Guard, ticket: &Ticket) -> Option<TicketStatus> {
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -9,7 +9,7 @@
     rows::{DaemonId, Incarnation},
     ticket::{Begin, GuardRef, Home, Tally},
     util::lock,
-    wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus},
+    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus, UnknownReason},
 };
 
 /// The records of this daemon's tickets.
@@ -41,7 +41,7 @@
                 return begin;
             }
             if left.is_zero() {
-                return Begin::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
+                return Begin::Ended(Arc::new(Outcome::Unknown(UnknownReason::StillRunning)));
             }
             let waited = self.ended.wait_timeout(home, left);
             home = waited.unwrap_or_else(PoisonError::into_inner).0;
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -11,7 +11,7 @@
 use crate::{
     chart::Chart,
     rows::{DaemonId, Incarnation},
-    wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketStatus},
+    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketStatus, UnknownReason},
 };
 
 /// How long a ticket is answered for after it was issued.
@@ -264,6 +264,9 @@
 
     /// Whether the guard has said all it will ever know; asking again is in vain.
     fn final_doubt(&self) -> bool {
-        matches!(self.outcome.as_deref(), Some(Outcome::Unknown(Doubt::GuardForgot | Doubt::EndpointSilent)))
+        matches!(
+            self.outcome.as_deref(),
+            Some(Outcome::Unknown(UnknownReason::GuardForgot | UnknownReason::EndpointSilent))
+        )
     }
 }
--- a/src/ticket/judge.rs
+++ b/src/ticket/judge.rs
@@ -1,6 +1,6 @@
 //! What a home concludes from a guard's words and from its silence.
 
-use crate::wire::{Doubt, Outcome, Refusal, RevokeReply};
+use crate::wire::{Outcome, Refusal, RevokeReply, UnknownReason};
 
 /// What the home does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 pub fn judge_reply(outcome: Outcome) -> Verdict {
     match outcome {
         Outcome::NotRun(refusal) => Verdict::TryAnother(refusal),
-        Outcome::Unknown(Doubt::StillRunning) => Verdict::Ask,
+        Outcome::Unknown(UnknownReason::StillRunning) => Verdict::Ask,
         Outcome::Done(_) | Outcome::Unknown(_) => Verdict::Settle(outcome),
     }
 }
@@ -48,6 +48,6 @@
         RevokeReply::Ended(outcome) => Verdict::Settle(outcome),
         RevokeReply::Running => Verdict::Ask,
         RevokeReply::Revoked => Verdict::TryAnother(Refusal::Revoked),
-        RevokeReply::NoMemory => Verdict::Settle(Outcome::Unknown(Doubt::GuardForgot)),
+        RevokeReply::NoMemory => Verdict::Settle(Outcome::Unknown(UnknownReason::GuardForgot)),
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -37,20 +37,20 @@
 /// A text that is not a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a ticket reads NAME.INCARNATION.SEQUENCE")]
-pub struct NotATicket;
+pub struct ParseTicketError;
 
 impl FromStr for Ticket {
-    type Err = NotATicket;
+    type Err = ParseTicketError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut fields = text.split('.');
-        let mut field = || fields.next().filter(|it| !it.is_empty()).ok_or(NotATicket);
+        let mut field = || fields.next().filter(|it| !it.is_empty()).ok_or(ParseTicketError);
         let home = field()?.into();
-        let incarnation = field()?.parse().map_err(|_| NotATicket)?;
-        let sequence = field()?.parse().map_err(|_| NotATicket)?;
+        let incarnation = field()?.parse().map_err(|_| ParseTicketError)?;
+        let sequence = field()?.parse().map_err(|_| ParseTicketError)?;
         match fields.next() {
             None => Ok(Self { home, incarnation, sequence }),
-            Some(_) => Err(NotATicket),
+            Some(_) => Err(ParseTicketError),
         }
     }
 }
@@ -69,7 +69,7 @@
 
 /// A caller's request, as it goes to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct CallerRequest {
     /// The method.
     pub method: Box<str>,
     /// Path and query.
@@ -81,7 +81,7 @@
     pub body: Vec<u8>,
 }
 
-impl Work {
+impl CallerRequest {
     /// Tells this request from others under the same ticket.
     pub fn fingerprint(&self) -> Fingerprint {
         crate::util::stable_hash(&[self.method.as_bytes(), self.target.as_bytes(), &self.body])
@@ -90,7 +90,7 @@
 
 /// An endpoint's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct EndpointResponse {
     /// The HTTP status.
     pub status: u16,
     /// The headers that are passed on.
@@ -146,7 +146,7 @@
 /// Why it is not known whether work ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Doubt {
+pub enum UnknownReason {
     /// The endpoint gave no whole answer in time.
     EndpointSilent,
     /// The guard gave no answer in time.
@@ -167,11 +167,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It ran, and this is the endpoint's whole answer.
-    Done(Answer),
+    Done(EndpointResponse),
     /// It did not run.
     NotRun(Refusal),
     /// It may have run.
-    Unknown(Doubt),
+    Unknown(UnknownReason),
 }
 
 impl Outcome {
@@ -215,7 +215,7 @@
     /// Present exactly if the class is not idempotent.
     pub leg: Option<TicketLeg>,
     /// The request.
-    pub work: Work,
+    pub work: CallerRequest,
 }
 
 /// A guard's answer to a dispatch, with what the ingress needs for its next choice.
@@ -267,7 +267,7 @@
     /// How much the work matters.
     pub importance: Importance,
     /// The request.
-    pub work: Work,
+    pub work: CallerRequest,
 }
 
 /// Asks a home, or a guard, for what it knows of a ticket.
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -14,7 +14,7 @@
     },
     targets::{Account, Class, Directory, Route, Service, Targets, Weighs, differences, hash_token, split},
     ticket::{GuardRef, Home, Ledger},
-    wire::{Answer, Outcome, TicketLeg, encode},
+    wire::{EndpointResponse, Outcome, TicketLeg, encode},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
@@ -307,7 +307,11 @@
     let resident = || usage(std::process::id()).map_or(0, |it| it.resident) as f64;
     let answer = || {
         let header = |name: &str| jayreach::wire::Header { name: name.into(), value: "some value".into() };
-        Outcome::Done(Answer { status: 200, headers: ["a", "b", "c"].map(header).to_vec(), body: vec![7; 200] })
+        Outcome::Done(EndpointResponse {
+            status: 200,
+            headers: ["a", "b", "c"].map(header).to_vec(),
+            body: vec![7; 200],
+        })
     };
     let before = resident();
     let mut home = Home::new("vm-1".into(), 1);
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -12,7 +12,7 @@
         Begin, GuardRef, Home, KEEP_RECORDS, Ledger, Opening, Silence, Verdict, judge_reply, judge_revoke,
         judge_silence,
     },
-    wire::{Answer, Doubt, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketLeg},
+    wire::{EndpointResponse, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketLeg, UnknownReason},
 };
 use proptest::{
     prelude::*,
@@ -112,7 +112,7 @@
 }
 
 fn done() -> Outcome {
-    Outcome::Done(Answer { status: 200, headers: Vec::new(), body: Vec::new() })
+    Outcome::Done(EndpointResponse { status: 200, headers: Vec::new(), body: Vec::new() })
 }
 
 impl World {
@@ -151,7 +151,7 @@
             }
             Action::GiveUpWaiting(at) => self.silence(at),
             Action::DeadlinePasses(at) => match self.runs[at].take() {
-                Some(run) => self.settle(run.leg.ticket.sequence, Outcome::Unknown(Doubt::GuardSilent)),
+                Some(run) => self.settle(run.leg.ticket.sequence, Outcome::Unknown(UnknownReason::GuardSilent)),
                 None => Ok(()),
             },
             Action::Resolve => self.resolve(),
@@ -237,7 +237,7 @@
                 it.running.push(leg.clone());
                 None
             }
-            Opening::Running => Some(Outcome::Unknown(Doubt::StillRunning)),
+            Opening::Running => Some(Outcome::Unknown(UnknownReason::StillRunning)),
             Opening::Ended(outcome) => Some(outcome),
             Opening::Stale => Some(Outcome::NotRun(Refusal::StaleDispatch)),
         }
@@ -258,7 +258,7 @@
         let Some(leg) = self.guards[guard].running.pop() else { return Ok(()) };
         let outcome = match ending {
             Ending::Answered => done(),
-            Ending::Silent => Outcome::Unknown(Doubt::EndpointSilent),
+            Ending::Silent => Outcome::Unknown(UnknownReason::EndpointSilent),
             Ending::Refused => Outcome::NotRun(Refusal::EndpointUnreachable),
         };
         if !matches!(outcome, Outcome::NotRun(_)) {
