--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -9,7 +9,7 @@
 use crate::{
     cmd::{Run, args},
     error::Error,
-    explain::{Line, Subject, explain},
+    explain::{EventLine, Subject, explain},
 };
 
 impl Run for args::Explain {
@@ -37,12 +37,12 @@
     }
 }
 
-fn read(path: &Path, lines: &mut Vec<Line>) -> Result<(), Error> {
+fn read(path: &Path, lines: &mut Vec<EventLine>) -> Result<(), Error> {
     let context = || path.display().to_string();
     let file = File::open(path).map_err(|it| Error::io(context(), it))?;
     for text in BufReader::new(file).lines() {
         let text = text.map_err(|it| Error::io(context(), it))?;
-        lines.extend(Line::parse(&text));
+        lines.extend(EventLine::parse(&text));
     }
     Ok(())
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -6,7 +6,7 @@
 
 /// One event line.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Line {
+pub struct EventLine {
     /// By the clock of the VM that wrote it, in seconds since 1970.
     pub time: f64,
     /// Who wrote it.
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct History {
     /// In the order of their times.
-    pub lines: Vec<Line>,
+    pub lines: Vec<EventLine>,
     /// The cause, in a sentence.
     pub cause: String,
 }
@@ -43,7 +43,7 @@
 /// How long before a failure a turn of the endpoint's standing bears on it, in seconds.
 const RECENT: f64 = 5.0;
 
-impl Line {
+impl EventLine {
     /// Parses one line; `None` if it is none of ours.
     pub fn parse(text: &str) -> Option<Self> {
         // Other tools may put their own words before the line.
@@ -74,12 +74,12 @@
 }
 
 /// Finds what `lines` say of `subject`.
-pub fn explain(lines: &[Line], subject: &Subject) -> History {
-    let mut about: Vec<Line> = lines.iter().filter(|it| it.is_about(subject)).cloned().collect();
+pub fn explain(lines: &[EventLine], subject: &Subject) -> History {
+    let mut about: Vec<EventLine> = lines.iter().filter(|it| it.is_about(subject)).cloned().collect();
     // What others like it did is part of the story of a request that was held back.
     let held_back = about.iter().map(|it| it.text("quarantined")).find(|it| !it.is_empty());
     if let Some(like_it) = held_back.map(|it| Subject::Fingerprint(it.into())) {
-        let tells = |it: &&Line| matches!(&*it.event, "ended-under" | "quarantine") && it.is_about(&like_it);
+        let tells = |it: &&EventLine| matches!(&*it.event, "ended-under" | "quarantine") && it.is_about(&like_it);
         about.extend(lines.iter().filter(tells).filter(|it| !it.is_about(subject)).cloned());
     }
     about.sort_by(|a, b| a.time.total_cmp(&b.time));
@@ -92,7 +92,7 @@
     History { lines: about, cause }
 }
 
-fn request_cause(id: &str, about: &[Line], all: &[Line]) -> String {
+fn request_cause(id: &str, about: &[EventLine], all: &[EventLine]) -> String {
     let own = |event: &str| about.iter().rev().find(|it| &*it.event == event && it.text("request") == id);
     if let Some(it) = own("rejected") {
         return format!("{} refused it with {}: {}.", it.proxy, it.number("status"), it.text("why"));
@@ -132,7 +132,7 @@
     }
 }
 
-fn untold(about: &[Line], all: &[Line]) -> String {
+fn untold(about: &[EventLine], all: &[EventLine]) -> String {
     let dropped: u64 =
         all.iter().filter(|it| &*it.event == "dropped").map(|it| it.number("ordinary") + it.number("full")).sum();
     let told = if about.is_empty() { "No line names it" } else { "No line tells its end" };
@@ -142,7 +142,13 @@
     )
 }
 
-fn endpoint_failed(id: &str, status: u64, failed: Option<&Line>, about: &[Line], all: &[Line]) -> String {
+fn endpoint_failed(
+    id: &str,
+    status: u64,
+    failed: Option<&EventLine>,
+    about: &[EventLine],
+    all: &[EventLine],
+) -> String {
     let failed_call =
         about.iter().find(|it| &*it.event == "answered" && it.text("request") != id && it.number("status") >= 300);
     if let Some(it) = failed_call {
@@ -168,7 +174,7 @@
     format!("The endpoint beside {guard} answered {status} itself after {} ms.{gray}", failed.number("took_ms"))
 }
 
-fn no_place(answer: &Line, about: &[Line]) -> String {
+fn no_place(answer: &EventLine, about: &[EventLine]) -> String {
     let refused = |why: &str| about.iter().filter(|it| &*it.event == "no-place" && it.text("why") == why).count();
     format!(
         "No place became free in {} ms at {}: of {} guards asked, {} had an endpoint that failed or declined of late, {} had none that \
@@ -182,7 +188,7 @@
     )
 }
 
-fn attempt_failed(it: &Line) -> String {
+fn attempt_failed(it: &EventLine) -> String {
     if it.fields.get("why").and_then(|it| it.get("unknown")).and_then(Value::as_str) == Some("Ended") {
         return format!(
             "The endpoint beside {} ended with it after {} ms; explain --fingerprint {} tells of others like it.",
@@ -200,7 +206,7 @@
     )
 }
 
-fn fingerprint_cause(fingerprint: &str, about: &[Line]) -> String {
+fn fingerprint_cause(fingerprint: &str, about: &[EventLine]) -> String {
     let held_back = about.iter().filter(|it| !it.text("quarantined").is_empty()).count();
     let last = about.iter().rfind(|it| &*it.event == "quarantine");
     let now = match last {
@@ -212,7 +218,7 @@
 }
 
 /// Which endpoints ended under requests with this fingerprint.
-fn ends_under(fingerprint: &str, about: &[Line]) -> String {
+fn ends_under(fingerprint: &str, about: &[EventLine]) -> String {
     let ends: Vec<String> = about
         .iter()
         .filter(|it| &*it.event == "ended-under" && it.text("fingerprint") == fingerprint)
@@ -221,7 +227,7 @@
     format!("{} endpoint(s) ended under requests with the fingerprint {fingerprint}: {}.", ends.len(), ends.join(", "))
 }
 
-fn endpoint_cause(id: &str, about: &[Line]) -> String {
+fn endpoint_cause(id: &str, about: &[EventLine]) -> String {
     let last = about.iter().rev().find(|it| &*it.event == "endpoint");
     let turned = about.iter().rev().find(|it| &*it.event == "standing");
     let phase = last.map_or("never announced", |it| it.text("phase"));
@@ -233,7 +239,7 @@
     format!("Endpoint {id}: last {phase}; {standing}.")
 }
 
-fn config_cause(version: u64, about: &[Line], all: &[Line]) -> String {
+fn config_cause(version: u64, about: &[EventLine], all: &[EventLine]) -> String {
     let (Some(first), Some(last)) = (about.first(), about.last()) else {
         return format!("No proxy had version {version} in force.");
     };
@@ -247,7 +253,7 @@
 }
 
 /// How many proxies wrote these lines; one that restarted counts once.
-fn proxies(lines: &[Line]) -> usize {
+fn proxies(lines: &[EventLine]) -> usize {
     let mut names: Vec<&str> = lines.iter().map(|it| &*it.proxy).collect();
     names.sort_unstable();
     names.dedup();
--- a/standins/src/platform/desk.rs
+++ b/standins/src/platform/desk.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, time::Duration};
 
-use jayreach::explain::{Line, Subject, explain};
+use jayreach::explain::{EventLine, Subject, explain};
 use serde_json::Value;
 
 use crate::platform::{
@@ -69,7 +69,8 @@
 pub fn cause(site: &Site, request: &str) -> String {
     let explain = || {
         let texts = site.proxies.iter().map(|it| fs::read_to_string(it.log()).unwrap_or_default());
-        let lines: Vec<Line> = texts.flat_map(|it| it.lines().filter_map(Line::parse).collect::<Vec<_>>()).collect();
+        let lines: Vec<EventLine> =
+            texts.flat_map(|it| it.lines().filter_map(EventLine::parse).collect::<Vec<_>>()).collect();
         explain(&lines, &Subject::Request(request.into())).cause
     };
     eventually(|| !explain().starts_with("No line"));
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -11,7 +11,7 @@
 
 use jayreach::{
     decide::fingerprint::Fingerprint,
-    explain::{Line, Subject, explain},
+    explain::{EventLine, Subject, explain},
     proxy::{
         events::{AnsweredRequest, AttemptFailure, Event, EventLog},
         message::UnknownReason,
@@ -56,9 +56,9 @@
     })
 }
 
-fn lines(written: &Arc<Mutex<Vec<u8>>>) -> Vec<Line> {
+fn lines(written: &Arc<Mutex<Vec<u8>>>) -> Vec<EventLine> {
     let bytes = written.lock().expect("no writer panics").clone();
-    String::from_utf8(bytes).expect("lines are text").lines().filter_map(Line::parse).collect()
+    String::from_utf8(bytes).expect("lines are text").lines().filter_map(EventLine::parse).collect()
 }
 
 fn eventually(condition: impl Fn() -> bool) -> bool {
@@ -106,7 +106,7 @@
     }
 
     let count = |prefix: &str| {
-        let request = |it: &Line| it.fields.get("request").and_then(|it| it.as_str()).unwrap_or("").to_owned();
+        let request = |it: &EventLine| it.fields.get("request").and_then(|it| it.as_str()).unwrap_or("").to_owned();
         lines(&written).iter().filter(|it| request(it).starts_with(prefix)).count()
     };
     assert!(eventually(|| count("bad-") == 100));
@@ -114,7 +114,7 @@
 }
 
 /// Writes events through an [`EventLog`] and parses the resulting lines.
-fn written_lines(events: &[Event<'_>]) -> Vec<Line> {
+fn written_lines(events: &[Event<'_>]) -> Vec<EventLine> {
     let written = Arc::new(Mutex::new(Vec::new()));
     let out = EventLog::start("vm-1".into(), BlockableWriter { unblock: None, written: Arc::clone(&written) })
         .expect("a writer");
