--- a/src/document.rs
+++ b/src/document.rs
@@ -27,24 +27,24 @@
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
             let offset = error.span().map_or(0, |it| it.start);
-            self.find(offset, error.message());
+            self.add_finding(offset, error.message());
         }
         table
     }
 
     /// Records a finding at byte `offset`.
-    pub fn find(&self, offset: usize, message: impl Into<Box<str>>) {
+    pub fn add_finding(&self, offset: usize, message: impl Into<Box<str>>) {
         let place = Place::at(self.file, self.text, offset);
         self.findings.borrow_mut().push(place, message);
     }
 
     /// Ends the reading: the findings in the order of their places.
-    pub fn close(self) -> Findings {
+    pub fn into_findings(self) -> Findings {
         self.findings.into_inner().sorted()
     }
 }
 
-/// One table of a document, read key by key; `close` reports the keys nobody asked for.
+/// One table of a document, read key by key; `reject_unknown_keys` reports the keys that were not read.
 pub struct Section<'a> {
     doc: &'a Document<'a>,
     name: Box<str>,
@@ -98,7 +98,7 @@
         let number = u64::from_str_radix(it.as_str(), it.radix()).ok().filter(|n| range.contains(n));
         if number.is_none() {
             let message = format!("`{key}` must be from {} to {}", range.start, range.end - 1);
-            self.doc.find(value.span().start, message);
+            self.doc.add_finding(value.span().start, message);
         }
         number
     }
@@ -120,7 +120,7 @@
         let text = self.text(key)?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.find(key, format!("`{key}` must be an IP number and port such as \"10.0.0.7:7101\""));
+            self.add_finding(key, format!("`{key}` must be an IP number and port such as \"10.0.0.7:7101\""));
         }
         address
     }
@@ -137,7 +137,7 @@
         let number = text.parse().ok().filter(|it| range.contains(it));
         if number.is_none() {
             let message = format!("`{key}` must be a number from {} to below {}", range.start, range.end);
-            self.doc.find(value.span().start, message);
+            self.doc.add_finding(value.span().start, message);
         }
         number
     }
@@ -157,7 +157,7 @@
         let parsed = parse_duration(&text);
         if parsed.is_none() {
             let message = format!("`{key}` must be a length of time such as \"250ms\", \"2s\" or \"5m\"");
-            self.doc.find(self.offset(key), message);
+            self.doc.add_finding(self.offset(key), message);
         }
         parsed
     }
@@ -173,7 +173,7 @@
         for item in array.iter() {
             match item.get_ref() {
                 DeValue::String(it) => texts.push(it.as_ref().into()),
-                _ => self.doc.find(item.span().start, format!("`{key}` must hold strings only")),
+                _ => self.doc.add_finding(item.span().start, format!("`{key}` must hold strings only")),
             }
         }
         texts
@@ -190,7 +190,7 @@
         for item in array.iter() {
             match item.get_ref() {
                 DeValue::Table(it) => sections.push(Self::new(self.doc, key, item.span().start, it)),
-                _ => self.doc.find(item.span().start, format!("`{key}` must hold tables only")),
+                _ => self.doc.add_finding(item.span().start, format!("`{key}` must hold tables only")),
             }
         }
         sections
@@ -211,19 +211,19 @@
                     let title = format!("{key}.{}", name.get_ref());
                     sections.push((name.get_ref().as_ref().into(), Self::new(self.doc, &title, start, it)));
                 }
-                _ => self.doc.find(start, format!("`{key}.{}` must be a table", name.get_ref())),
+                _ => self.doc.add_finding(start, format!("`{key}.{}` must be a table", name.get_ref())),
             }
         }
         sections
     }
 
     /// Records a finding at the value of `key`.
-    pub fn find(&self, key: &str, message: impl Into<Box<str>>) {
-        self.doc.find(self.offset(key), message);
+    pub fn add_finding(&self, key: &str, message: impl Into<Box<str>>) {
+        self.doc.add_finding(self.offset(key), message);
     }
 
     /// Reports every key that was not asked for; `reason` may explain why a key is refused.
-    pub fn close(self, reason: fn(&str) -> Option<&'static str>) {
+    pub fn reject_unknown_keys(self, reason: fn(&str) -> Option<&'static str>) {
         for key in self.table.keys() {
             let name: &str = key.get_ref().as_ref();
             if self.asked.contains(&name) {
@@ -233,18 +233,18 @@
                 Some(reason) => format!("`{name}` is refused: {reason}"),
                 None => format!("unknown key `{name}` in {}; known: {}", self.name, self.asked.join(", ")),
             };
-            self.doc.find(key.span().start, message);
+            self.doc.add_finding(key.span().start, message);
         }
     }
 
     fn require(&self, key: &'static str) {
         if self.table.get(key).is_none() {
-            self.doc.find(self.start, format!("{} lacks `{key}`", self.name));
+            self.doc.add_finding(self.start, format!("{} lacks `{key}`", self.name));
         }
     }
 
     fn wrong_type<T>(&self, key: &str, span: Range<usize>, wanted: &str) -> Option<T> {
-        self.doc.find(span.start, format!("`{key}` must be {wanted}"));
+        self.doc.add_finding(span.start, format!("`{key}` must be {wanted}"));
         None
     }
 }
@@ -288,8 +288,8 @@
     let table = doc.parse();
     let mut section = Section::new(&doc, title, 0, table.get_ref());
     let settings = read(&mut section);
-    section.close(|_| None);
-    let findings = doc.close();
+    section.reject_unknown_keys(|_| None);
+    let findings = doc.into_findings();
     match settings {
         Some(it) if findings.is_empty() => Ok(it),
         _ => Err(findings),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -68,7 +68,7 @@
     let contacts = contacts(section);
     let peer_key = section.required_text("peer_key");
     if peer_key.as_ref().is_some_and(|it| it.len() < 16) {
-        section.find("peer_key", "`peer_key` must have 16 characters or more");
+        section.add_finding("peer_key", "`peer_key` must have 16 characters or more");
     }
     let log_level = log_level(section);
     let log_format = log_format(section);
@@ -92,7 +92,7 @@
     if fits && name.chars().all(|it| it.is_ascii_alphanumeric() || it == '-') {
         return Some(name);
     }
-    section.find(key, format!("`{key}` must have 1 to {NAME_LIMIT} letters, digits or dashes"));
+    section.add_finding(key, format!("`{key}` must have 1 to {NAME_LIMIT} letters, digits or dashes"));
     None
 }
 
@@ -102,7 +102,7 @@
     for text in texts {
         match text.parse() {
             Ok(it) => contacts.push(it),
-            Err(_) => section.find("contacts", format!("`{text}` is not an IP number and port")),
+            Err(_) => section.add_finding("contacts", format!("`{text}` is not an IP number and port")),
         }
     }
     contacts
@@ -111,7 +111,7 @@
 fn log_level(section: &mut Section<'_>) -> log::LevelFilter {
     let Some(text) = section.text("log_level") else { return log::LevelFilter::Info };
     text.parse().unwrap_or_else(|_| {
-        section.find("log_level", "`log_level` must be off, error, warn, info, debug or trace");
+        section.add_finding("log_level", "`log_level` must be off, error, warn, info, debug or trace");
         log::LevelFilter::Info
     })
 }
@@ -121,7 +121,7 @@
         None | Some("text") => LogFormat::Text,
         Some("json") => LogFormat::Json,
         Some(_) => {
-            section.find("log_format", "`log_format` must be text or json");
+            section.add_finding("log_format", "`log_format` must be text or json");
             LogFormat::Text
         }
     }
--- a/src/targets/parse.rs
+++ b/src/targets/parse.rs
@@ -26,8 +26,8 @@
     let table = doc.parse();
     let mut section = Section::new(&doc, "the targets", 0, table.get_ref());
     let read = read(&mut section);
-    section.close(refusal);
-    let findings = doc.close();
+    section.reject_unknown_keys(refusal);
+    let findings = doc.into_findings();
     if findings.is_empty() { Ok(read) } else { Err(findings) }
 }
 
@@ -58,17 +58,17 @@
     for (name, mut section) in section.named_tables("class") {
         let lateness = section.duration("lateness");
         if section.offset("lateness") == section.start() {
-            section.find("lateness", format!("class.{name} lacks `lateness`"));
+            section.add_finding("lateness", format!("class.{name} lacks `lateness`"));
         }
         if lateness.is_some_and(|it| it > LATENESS_LIMIT) {
-            section.find("lateness", format!("`lateness` must be at most {}", format_duration(LATENESS_LIMIT)));
+            section.add_finding("lateness", format!("`lateness` must be at most {}", format_duration(LATENESS_LIMIT)));
         }
         let importance = section.required_number("importance", 1..101);
         let idempotent = section.flag("idempotent");
         if idempotent.is_none() && section.offset("idempotent") == section.start() {
-            section.find("idempotent", format!("class.{name} lacks `idempotent`"));
+            section.add_finding("idempotent", format!("class.{name} lacks `idempotent`"));
         }
-        section.close(refusal);
+        section.reject_unknown_keys(refusal);
         if let (Some(lateness), Some(importance), Some(idempotent)) = (lateness, importance, idempotent) {
             classes.push(Class { name, lateness, importance: importance as u8, idempotent });
         }
@@ -85,12 +85,12 @@
             Some("detection-time") => Some(Weighs::DetectionTime),
             Some("false-ejections") => Some(Weighs::FalseEjections),
             Some(_) => {
-                section.find("weighs", "`weighs` must be detection-time or false-ejections");
+                section.add_finding("weighs", "`weighs` must be detection-time or false-ejections");
                 None
             }
             None => None,
         };
-        section.close(refusal);
+        section.reject_unknown_keys(refusal);
         if let (Some(floor_percent), Some(weighs)) = (floor_percent, weighs) {
             services.push(Service { name, floor_percent: floor_percent as u8, weighs });
         }
@@ -110,16 +110,16 @@
         if let Some(prefix) = &prefix {
             check_prefix(&section, prefix);
             if !seen.insert(prefix.clone()) {
-                section.find("prefix", format!("the prefix {prefix} stands twice"));
+                section.add_finding("prefix", format!("the prefix {prefix} stands twice"));
             }
         }
         if let Some(it) = service.as_deref().filter(|it| targets.service(it).is_none()) {
-            section.find("service", format!("no service is called {it}"));
+            section.add_finding("service", format!("no service is called {it}"));
         }
         if let Some(it) = class.as_deref().filter(|it| targets.class(it).is_none()) {
-            section.find("class", format!("no class is called {it}"));
+            section.add_finding("class", format!("no class is called {it}"));
         }
-        section.close(refusal);
+        section.reject_unknown_keys(refusal);
         if let (Some(prefix), Some(service), Some(class)) = (prefix, service, class) {
             routes.push(Route { prefix, service, class, public });
         }
@@ -130,13 +130,13 @@
 
 fn check_prefix(section: &Section<'_>, prefix: &str) {
     if !prefix.starts_with('/') {
-        section.find("prefix", "`prefix` must begin with /");
+        section.add_finding("prefix", "`prefix` must begin with /");
     }
     if prefix.len() > 1 && prefix.ends_with('/') {
-        section.find("prefix", "`prefix` must not end with /");
+        section.add_finding("prefix", "`prefix` must not end with /");
     }
     if prefix == "/.jayreach" || prefix.starts_with("/.jayreach/") {
-        section.find("prefix", "/.jayreach is the system's own");
+        section.add_finding("prefix", "/.jayreach is the system's own");
     }
 }
 
@@ -148,17 +148,17 @@
         let name = section.required_text("name");
         let hash = section.required_text("token_sha256");
         if let Some(name) = name.as_ref().filter(|it| !names.insert((*it).clone())) {
-            section.find("name", format!("the account {name} stands twice"));
+            section.add_finding("name", format!("the account {name} stands twice"));
         }
         let token_hash = hash.and_then(|it| parse_hash(&it));
         match token_hash {
-            Some(it) if !hashes.insert(it) => section.find("token_sha256", "another account has the same token"),
+            Some(it) if !hashes.insert(it) => section.add_finding("token_sha256", "another account has the same token"),
             None if section.offset("token_sha256") != section.start() => {
-                section.find("token_sha256", "`token_sha256` must have 64 hexadecimal digits");
+                section.add_finding("token_sha256", "`token_sha256` must have 64 hexadecimal digits");
             }
             _ => (),
         }
-        section.close(refusal);
+        section.reject_unknown_keys(refusal);
         if let (Some(name), Some(token_hash)) = (name, token_hash) {
             accounts.push(Account { name, token_hash });
         }
