--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -307,7 +307,7 @@
 fn tell_ticket(daemon: &Daemon, req: Request, ticket: &Ticket) {
     let known = daemon.ticket_status(ticket);
     let (state, status) = match &known {
-        Some(TicketStatus::Fresh) => ("fresh", None),
+        Some(TicketStatus::Unused) => ("fresh", None),
         Some(TicketStatus::Running) => ("running", None),
         Some(TicketStatus::Ended(Outcome::Done(it))) => ("done", Some(it.status)),
         Some(TicketStatus::Ended(Outcome::NotRun(_))) => ("not-run", None),
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -31,7 +31,8 @@
     let Some(req) = request(dispatch, left) else {
         return Called::NotSent(Refusal::BadRequest);
     };
-    let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::Fresh } else { Connection::Kept };
+    let connection =
+        if dispatch.retry || dispatch.ticket_attempt.is_some() { Connection::Fresh } else { Connection::Kept };
     match client.call(req, connection, left) {
         Ok(reply) => Called::Answered(reply),
         Err(silence) => Called::Silent(silence),
--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -72,7 +72,7 @@
 impl Target {
     /// Takes in what the guard told with an answer.
     pub(crate) fn tell(&self, reply: &DispatchReply) {
-        let told = Told { load: reply.load, admits: reply.admits, at: Instant::now() };
+        let told = Told { load: reply.load, admits: reply.min_importance, at: Instant::now() };
         *lock(&self.load.told) = Some(told);
     }
 
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -177,25 +177,25 @@
         let outcome = self.run(client, dispatch, hooks);
         let inner = lock(&self.inner);
         let gate = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].gate);
-        let (load, admits) = gate.map_or((0, 0), |it| (it.load(), it.min_importance()));
-        DispatchReply { outcome, load, admits }
+        let (load, min_importance) = gate.map_or((0, 0), |it| (it.load(), it.min_importance()));
+        DispatchReply { outcome, load, min_importance }
     }
 
     fn run(&self, client: &Client, dispatch: &Dispatch, hooks: &Hooks<'_>) -> Outcome {
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
         }
-        let Some(leg) = &dispatch.leg else {
+        let Some(ticket_attempt) = &dispatch.ticket_attempt else {
             return self.run_once(client, dispatch, hooks);
         };
-        match lock(&self.inner).ledger.open(leg) {
+        match lock(&self.inner).ledger.open(ticket_attempt) {
             Opening::Run => (),
             Opening::Running => return Outcome::Unknown(UnknownReason::StillRunning),
             Opening::Ended(outcome) => return outcome,
             Opening::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
         let outcome = self.run_once(client, dispatch, hooks);
-        lock(&self.inner).ledger.finish(&leg.ticket, outcome.clone());
+        lock(&self.inner).ledger.finish(&ticket_attempt.ticket, outcome.clone());
         self.ended.notify_all();
         outcome
     }
@@ -292,12 +292,12 @@
     /// Makes sure an attempt will not run, waiting a while for one that is running.
     pub(crate) fn revoke(&self, revoke: &Revoke) -> RevokeReply {
         if revoke.guard_incarnation != self.incarnation {
-            return RevokeReply::NoMemory;
+            return RevokeReply::GuardRestarted;
         }
         let deadline = Instant::now() + Duration::from_millis(revoke.wait_ms);
         let mut inner = lock(&self.inner);
         loop {
-            let reply = inner.ledger.revoke(&revoke.leg);
+            let reply = inner.ledger.revoke(&revoke.ticket_attempt);
             let left = deadline.saturating_duration_since(Instant::now());
             if reply != RevokeReply::Running || left.is_zero() {
                 return reply;
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -23,7 +23,7 @@
     ticket::{Begin, GuardRef, Silence, Verdict, judge_reply, judge_revoke, judge_silence},
     wire::{
         CallerRequest, Dispatch, DispatchReply, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket,
-        TicketLeg, TicketQuery, TicketStatus, UnknownReason,
+        TicketAttempt, TicketQuery, TicketStatus, UnknownReason,
     },
 };
 
@@ -68,7 +68,7 @@
     order: Order<'a>,
     work: &'a CallerRequest,
     /// Present exactly if the class is not idempotent.
-    leg: Option<TicketLeg>,
+    ticket_attempt: Option<TicketAttempt>,
     connection: Connection,
     /// What is left of the deadline for this attempt.
     budget: Duration,
@@ -92,7 +92,8 @@
             };
             let (connection, share) =
                 if tried.is_empty() { (Connection::Kept, FIRST_SHARE) } else { (Connection::Fresh, 1.0) };
-            let attempt = Attempt { order, work, leg: None, connection, budget: order.left().mul_f64(share) };
+            let attempt =
+                Attempt { order, work, ticket_attempt: None, connection, budget: order.left().mul_f64(share) };
             last = self.try_once(&target, &attempt);
             if answered_well(&last) {
                 return last;
@@ -122,10 +123,10 @@
             importance: attempt.order.importance,
             budget_ms: attempt.budget.as_millis() as u64,
             retry: attempt.connection == Connection::Fresh,
-            leg: attempt.leg.clone(),
+            ticket_attempt: attempt.ticket_attempt.clone(),
             work: attempt.work.clone(),
         };
-        let ticketed = dispatch.leg.is_some();
+        let ticketed = dispatch.ticket_attempt.is_some();
         let in_flight = target.start();
         let result = if self.is_self(&target.guard) {
             Ok(self.execute(&dispatch))
@@ -219,19 +220,20 @@
     /// One attempt, and asking about it until it is decided or the time is up.
     fn run_attempt(&self, order: Order<'_>, ticket: &Ticket, work: &CallerRequest, target: &Arc<Target>) -> Verdict {
         let guard = GuardRef { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
-        let Some(leg) = self.home.dispatch(ticket, guard) else {
+        let Some(ticket_attempt) = self.home.dispatch(ticket, guard) else {
             return Verdict::Settle(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = order.left();
         let timeout = FIRST_WAIT.min(budget + GRACE);
-        let attempt = Attempt { order, work, leg: Some(leg.clone()), connection: Connection::Kept, budget };
+        let attempt =
+            Attempt { order, work, ticket_attempt: Some(ticket_attempt.clone()), connection: Connection::Kept, budget };
         let sent = self.send(target, &attempt, timeout);
         let mut verdict = match sent {
             Ok(reply) => judge_reply(reply.outcome),
             Err(silence) => judge_silence(silence),
         };
         while verdict == Verdict::Ask && !order.left().is_zero() {
-            verdict = match self.revoke(&target.guard, leg.clone(), order.left().min(ASK_WAIT)) {
+            verdict = match self.revoke(&target.guard, ticket_attempt.clone(), order.left().min(ASK_WAIT)) {
                 Ok(reply) => {
                     target.guard.answered();
                     judge_revoke(reply)
@@ -246,9 +248,9 @@
         verdict
     }
 
-    fn revoke(&self, guard: &Guard, leg: TicketLeg, wait: Duration) -> Result<RevokeReply, Silence> {
+    fn revoke(&self, guard: &Guard, ticket_attempt: TicketAttempt, wait: Duration) -> Result<RevokeReply, Silence> {
         metrics::counter!("jayreach_revokes_total").increment(1);
-        let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: wait.as_millis() as u64 };
+        let revoke = Revoke { guard_incarnation: guard.incarnation, ticket_attempt, wait_ms: wait.as_millis() as u64 };
         if self.is_self(guard) {
             return Ok(self.guard.revoke(&revoke));
         }
@@ -261,8 +263,8 @@
         for (sequence, attempt, guard) in unresolved {
             let Some(address) = address_of(self, &guard.daemon) else { continue };
             let ticket = self.own_ticket(sequence);
-            let leg = TicketLeg { ticket, attempt, low_water };
-            let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: 0 };
+            let ticket_attempt = TicketAttempt { ticket, attempt, low_water };
+            let revoke = Revoke { guard_incarnation: guard.incarnation, ticket_attempt, wait_ms: 0 };
             let reply = if guard.daemon == self.settings.name {
                 Ok(self.guard.revoke(&revoke))
             } else {
@@ -286,7 +288,7 @@
             match self.ask_ledger(&guard, ticket) {
                 Some(TicketStatus::Ended(outcome)) => return outcome,
                 Some(TicketStatus::Running) => return Outcome::Unknown(UnknownReason::StillRunning),
-                Some(TicketStatus::Fresh | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
+                Some(TicketStatus::Unused | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
             }
         }
         Outcome::Unknown(UnknownReason::HomeUnreachable)
@@ -347,7 +349,7 @@
 }
 
 fn may_have_run(status: Option<&TicketStatus>) -> bool {
-    !matches!(status, Some(TicketStatus::Fresh | TicketStatus::Ended(Outcome::NotRun(_))))
+    !matches!(status, Some(TicketStatus::Unused | TicketStatus::Ended(Outcome::NotRun(_))))
 }
 
 /// Keeps what a caller must be told if no later attempt goes well: an answer before a doubt, and
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -9,7 +9,7 @@
     rows::{DaemonId, Incarnation},
     ticket::{Begin, GuardRef, Home, Tally},
     util::lock,
-    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus, UnknownReason},
+    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketAttempt, TicketStatus, UnknownReason},
 };
 
 /// The records of this daemon's tickets.
@@ -49,10 +49,10 @@
     }
 
     /// Numbers the next attempt under a running ticket.
-    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardRef) -> Option<TicketLeg> {
+    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardRef) -> Option<TicketAttempt> {
         let mut home = lock(&self.home);
         let attempt = home.dispatch(ticket.sequence, guard)?;
-        Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
+        Some(TicketAttempt { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
     /// Ends a run, or clears up an unknown one.
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -15,7 +15,7 @@
     },
     rows::EndpointRow,
     util::lock,
-    wire::InForce,
+    wire::ActiveVersion,
 };
 
 /// A body that is not what the path wants.
@@ -138,7 +138,7 @@
     count.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
         let answer = daemon.peers.call(row.peers, PeerCall::InForce, &(), Connection::Fresh, CONTROL_TIMEOUT);
-        let has = answer.ok().map(|it: InForce| it.version);
+        let has = answer.ok().map(|it: ActiveVersion| it.version);
         count.add(&row.daemon, has, version);
     }
     respond_json(req, 200, &count);
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -18,7 +18,7 @@
     targets::{Importance, PartRef},
     ticket::Silence,
     wire::{
-        Dispatch, DispatchReply, Forward, InForce, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
+        ActiveVersion, Dispatch, DispatchReply, Forward, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
         TicketStatus, decode, encode,
     },
 };
@@ -270,7 +270,7 @@
             let it: WantParts = decode(body).ok()?;
             Some(encode(&got_parts(&*daemon.config.get()?, &it)))
         }
-        PeerCall::InForce => Some(encode(&InForce { version: daemon.config.version() })),
+        PeerCall::InForce => Some(encode(&ActiveVersion { version: daemon.config.version() })),
     }
 }
 
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -199,7 +199,7 @@
             return TicketStatus::Expired;
         }
         match self.find(ticket.sequence) {
-            Err(_) => TicketStatus::Fresh,
+            Err(_) => TicketStatus::Unused,
             Ok(at) => match &self.records[at].outcome {
                 Some(it) => TicketStatus::Ended(Outcome::clone(it)),
                 None => TicketStatus::Running,
@@ -266,7 +266,7 @@
     fn final_doubt(&self) -> bool {
         matches!(
             self.outcome.as_deref(),
-            Some(Outcome::Unknown(UnknownReason::GuardForgot | UnknownReason::EndpointSilent))
+            Some(Outcome::Unknown(UnknownReason::GuardStateLost | UnknownReason::EndpointSilent))
         )
     }
 }
--- a/src/ticket/judge.rs
+++ b/src/ticket/judge.rs
@@ -48,6 +48,6 @@
         RevokeReply::Ended(outcome) => Verdict::Settle(outcome),
         RevokeReply::Running => Verdict::Ask,
         RevokeReply::Revoked => Verdict::TryAnother(Refusal::Revoked),
-        RevokeReply::NoMemory => Verdict::Settle(Outcome::Unknown(UnknownReason::GuardForgot)),
+        RevokeReply::GuardRestarted => Verdict::Settle(Outcome::Unknown(UnknownReason::GuardStateLost)),
     }
 }
--- a/src/ticket/ledger.rs
+++ b/src/ticket/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     rows::{DaemonId, Incarnation},
-    wire::{Outcome, RevokeReply, Sequence, Ticket, TicketLeg, TicketStatus},
+    wire::{Outcome, RevokeReply, Sequence, Ticket, TicketAttempt, TicketStatus},
 };
 
 /// What the ledger holds of a ticket.
@@ -56,14 +56,18 @@
 
 impl Ledger {
     /// Opens a line for a dispatch, or says why it must not run.
-    pub fn open(&mut self, leg: &TicketLeg) -> Opening {
-        self.hear(&leg.ticket, leg.low_water);
-        if leg.ticket.sequence < self.low_water(&leg.ticket) {
+    pub fn open(&mut self, ticket_attempt: &TicketAttempt) -> Opening {
+        self.hear(&ticket_attempt.ticket, ticket_attempt.low_water);
+        if ticket_attempt.ticket.sequence < self.low_water(&ticket_attempt.ticket) {
             return Opening::Stale;
         }
-        let at = match self.find(&leg.ticket) {
+        let at = match self.find(&ticket_attempt.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: Entry::Running };
+                let line = Line {
+                    ticket: ticket_attempt.ticket.clone(),
+                    attempt: ticket_attempt.attempt,
+                    entry: Entry::Running,
+                };
                 self.lines.insert(at, line);
                 return Opening::Run;
             }
@@ -73,9 +77,11 @@
         match &line.entry {
             Entry::Running => Opening::Running,
             Entry::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => Opening::Ended(it.clone()),
-            Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked if leg.attempt <= line.attempt => Opening::Stale,
+            Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked if ticket_attempt.attempt <= line.attempt => {
+                Opening::Stale
+            }
             Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked => {
-                line.attempt = leg.attempt;
+                line.attempt = ticket_attempt.attempt;
                 line.entry = Entry::Running;
                 Opening::Run
             }
@@ -91,11 +97,15 @@
     }
 
     /// Makes sure that an attempt will not run any more, or says what became of it.
-    pub fn revoke(&mut self, leg: &TicketLeg) -> RevokeReply {
-        self.hear(&leg.ticket, leg.low_water);
-        let at = match self.find(&leg.ticket) {
+    pub fn revoke(&mut self, ticket_attempt: &TicketAttempt) -> RevokeReply {
+        self.hear(&ticket_attempt.ticket, ticket_attempt.low_water);
+        let at = match self.find(&ticket_attempt.ticket) {
             Err(at) => {
-                let line = Line { ticket: leg.ticket.clone(), attempt: leg.attempt, entry: Entry::Revoked };
+                let line = Line {
+                    ticket: ticket_attempt.ticket.clone(),
+                    attempt: ticket_attempt.attempt,
+                    entry: Entry::Revoked,
+                };
                 self.lines.insert(at, line);
                 return RevokeReply::Revoked;
             }
@@ -106,7 +116,7 @@
             Entry::Running => RevokeReply::Running,
             Entry::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => RevokeReply::Ended(it.clone()),
             Entry::Ended(Outcome::NotRun(_)) | Entry::Revoked => {
-                line.attempt = line.attempt.max(leg.attempt);
+                line.attempt = line.attempt.max(ticket_attempt.attempt);
                 line.entry = Entry::Revoked;
                 RevokeReply::Revoked
             }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -152,7 +152,8 @@
     /// The guard gave no answer in time.
     GuardSilent,
     /// The guard restarted and has lost its records.
-    GuardForgot,
+    #[serde(rename = "guard-forgot")]
+    GuardStateLost,
     /// The ticket's home cannot be asked.
     HomeUnreachable,
     /// It is still running.
@@ -187,7 +188,7 @@
 
 /// A ticket's part of a dispatch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TicketLeg {
+pub struct TicketAttempt {
     /// The ticket.
     pub ticket: Ticket,
     /// Counts the dispatches under this ticket, from 1.
@@ -213,7 +214,8 @@
     /// ones may all have gone silent.
     pub retry: bool,
     /// Present exactly if the class is not idempotent.
-    pub leg: Option<TicketLeg>,
+    #[serde(rename = "leg")]
+    pub ticket_attempt: Option<TicketAttempt>,
     /// The request.
     pub work: CallerRequest,
 }
@@ -226,7 +228,8 @@
     /// The endpoint's slots in use and work queued.
     pub load: u32,
     /// The lowest importance this endpoint admits without queueing behind more important work.
-    pub admits: Importance,
+    #[serde(rename = "admits")]
+    pub min_importance: Importance,
 }
 
 /// Asks a guard to make sure that an attempt will not run any more.
@@ -235,7 +238,8 @@
     /// The guard's incarnation that got the dispatch.
     pub guard_incarnation: Incarnation,
     /// The attempt in question.
-    pub leg: TicketLeg,
+    #[serde(rename = "leg")]
+    pub ticket_attempt: TicketAttempt,
     /// How long the guard may wait for a run under way to end, in milliseconds.
     pub wait_ms: u64,
 }
@@ -250,7 +254,8 @@
     /// It has not run, and never will.
     Revoked,
     /// The guard has restarted since; it cannot tell.
-    NoMemory,
+    #[serde(rename = "NoMemory")]
+    GuardRestarted,
 }
 
 /// Work under a ticket on its way to the ticket's home.
@@ -281,7 +286,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TicketStatus {
     /// Issued, and not used yet.
-    Fresh,
+    #[serde(rename = "Fresh")]
+    Unused,
     /// Running.
     Running,
     /// Ended like this.
@@ -294,7 +300,7 @@
 
 /// Which configuration a daemon has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
+pub struct ActiveVersion {
     /// Zero if none.
     pub version: Version,
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -14,7 +14,7 @@
     },
     targets::{Account, Class, Directory, Route, Service, Targets, Weighs, differences, hash_token, split},
     ticket::{GuardRef, Home, Ledger},
-    wire::{EndpointResponse, Outcome, TicketLeg, encode},
+    wire::{EndpointResponse, Outcome, TicketAttempt, encode},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
@@ -316,23 +316,23 @@
     let before = resident();
     let mut home = Home::new("vm-1".into(), 1);
     let start = Instant::now();
-    let mut legs = Vec::new();
+    let mut attempts = Vec::new();
     for _ in 0..COUNT {
         let ticket = home.issue(start);
         home.begin(&ticket, ticket.sequence);
         let guard = GuardRef { daemon: "vm-2".into(), incarnation: 1 };
         let attempt = home.dispatch(ticket.sequence, guard).expect("a record");
         home.settle(ticket.sequence, answer());
-        legs.push(TicketLeg { ticket, attempt, low_water: 1 });
+        attempts.push(TicketAttempt { ticket, attempt, low_water: 1 });
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("home: {:.0} bytes and {each:.0} ns a record", (resident() - before) / COUNT as f64);
     let before = resident();
     let start = Instant::now();
     let mut ledger = Ledger::default();
-    for leg in &legs {
-        ledger.open(leg);
-        ledger.finish(&leg.ticket, answer());
+    for ticket_attempt in &attempts {
+        ledger.open(ticket_attempt);
+        ledger.finish(&ticket_attempt.ticket, answer());
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("ledger: {:.0} bytes and {each:.0} ns a line", (resident() - before) / COUNT as f64);
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -12,7 +12,7 @@
         Begin, GuardRef, Home, KEEP_RECORDS, Ledger, Opening, Silence, Verdict, judge_reply, judge_revoke,
         judge_silence,
     },
-    wire::{EndpointResponse, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketLeg, UnknownReason},
+    wire::{EndpointResponse, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketAttempt, UnknownReason},
 };
 use proptest::{
     prelude::*,
@@ -58,16 +58,16 @@
 /// reply: a reply is taken only from the connection to which the request was written, once.
 #[derive(Debug, Clone)]
 enum Message {
-    Dispatch { guard: usize, incarnation: u64, leg: TicketLeg, awaited: bool },
-    Revoke { guard: usize, incarnation: u64, leg: TicketLeg },
-    Reply { leg: TicketLeg, outcome: Outcome },
-    Revoked { leg: TicketLeg, reply: RevokeReply },
+    Dispatch { guard: usize, incarnation: u64, ticket_attempt: TicketAttempt, awaited: bool },
+    Revoke { guard: usize, incarnation: u64, ticket_attempt: TicketAttempt },
+    Reply { ticket_attempt: TicketAttempt, outcome: Outcome },
+    Revoked { ticket_attempt: TicketAttempt, reply: RevokeReply },
 }
 
 /// A home's run under way: the attempt it waits for.
 #[derive(Debug, Clone)]
 struct Run {
-    leg: TicketLeg,
+    ticket_attempt: TicketAttempt,
     guard: usize,
     /// The guard's incarnation when the attempt was sent.
     incarnation: u64,
@@ -76,7 +76,7 @@
 struct GuardModel {
     incarnation: u64,
     ledger: Ledger,
-    running: Vec<TicketLeg>,
+    running: Vec<TicketAttempt>,
 }
 
 struct World {
@@ -151,7 +151,9 @@
             }
             Action::GiveUpWaiting(at) => self.silence(at),
             Action::DeadlinePasses(at) => match self.runs[at].take() {
-                Some(run) => self.settle(run.leg.ticket.sequence, Outcome::Unknown(UnknownReason::GuardSilent)),
+                Some(run) => {
+                    self.settle(run.ticket_attempt.ticket.sequence, Outcome::Unknown(UnknownReason::GuardSilent))
+                }
                 None => Ok(()),
             },
             Action::Resolve => self.resolve(),
@@ -191,16 +193,16 @@
         let incarnation = self.guards[guard].incarnation;
         let guard_ref = GuardRef { daemon: guard.to_string().into(), incarnation };
         let attempt = self.home.dispatch(ticket.sequence, guard_ref).expect("a running ticket has a record");
-        let leg = TicketLeg { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
-        self.runs[at] = Some(Run { leg: leg.clone(), guard, incarnation });
-        self.network.push(Message::Dispatch { guard, incarnation, leg, awaited: true });
+        let ticket_attempt = TicketAttempt { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
+        self.runs[at] = Some(Run { ticket_attempt: ticket_attempt.clone(), guard, incarnation });
+        self.network.push(Message::Dispatch { guard, incarnation, ticket_attempt, awaited: true });
     }
 
     fn take(&mut self, at: usize) -> Option<Message> {
         let message = (!self.network.is_empty()).then(|| self.network.swap_remove(at % self.network.len()))?;
-        let Message::Dispatch { leg: copy, awaited: false, .. } = &message else { return Some(message) };
+        let Message::Dispatch { ticket_attempt: copy, awaited: false, .. } = &message else { return Some(message) };
         let first = self.network.iter().position(|it| match it {
-            Message::Dispatch { leg, awaited, .. } => *awaited && leg == copy,
+            Message::Dispatch { ticket_attempt, awaited, .. } => *awaited && ticket_attempt == copy,
             _ => false,
         });
         let Some(first) = first else { return Some(message) };
@@ -211,30 +213,31 @@
     fn deliver(&mut self, at: usize) -> Result<(), String> {
         match self.take(at) {
             None => Ok(()),
-            Some(Message::Dispatch { guard, incarnation, leg, awaited }) => {
-                let reply = self.at_guard(guard, incarnation, &leg);
-                self.network.extend(reply.filter(|_| awaited).map(|outcome| Message::Reply { leg, outcome }));
+            Some(Message::Dispatch { guard, incarnation, ticket_attempt, awaited }) => {
+                let reply = self.at_guard(guard, incarnation, &ticket_attempt);
+                self.network
+                    .extend(reply.filter(|_| awaited).map(|outcome| Message::Reply { ticket_attempt, outcome }));
                 Ok(())
             }
-            Some(Message::Revoke { guard, incarnation, leg }) => {
-                let reply = self.revoke(guard, incarnation, &leg);
-                self.network.push(Message::Revoked { leg, reply });
+            Some(Message::Revoke { guard, incarnation, ticket_attempt }) => {
+                let reply = self.revoke(guard, incarnation, &ticket_attempt);
+                self.network.push(Message::Revoked { ticket_attempt, reply });
                 Ok(())
             }
-            Some(Message::Reply { leg, outcome }) => self.conclude(&leg, judge_reply(outcome)),
-            Some(Message::Revoked { leg, reply }) => self.conclude(&leg, judge_revoke(reply)),
+            Some(Message::Reply { ticket_attempt, outcome }) => self.conclude(&ticket_attempt, judge_reply(outcome)),
+            Some(Message::Revoked { ticket_attempt, reply }) => self.conclude(&ticket_attempt, judge_revoke(reply)),
         }
     }
 
     /// The guard's reply, unless a run begins, which replies at its end.
-    fn at_guard(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> Option<Outcome> {
+    fn at_guard(&mut self, guard: usize, incarnation: u64, ticket_attempt: &TicketAttempt) -> Option<Outcome> {
         let it = &mut self.guards[guard];
         if it.incarnation != incarnation && self.without != Without::Incarnations {
             return Some(Outcome::NotRun(Refusal::StaleDispatch));
         }
-        match it.ledger.open(leg) {
+        match it.ledger.open(ticket_attempt) {
             Opening::Run => {
-                it.running.push(leg.clone());
+                it.running.push(ticket_attempt.clone());
                 None
             }
             Opening::Running => Some(Outcome::Unknown(UnknownReason::StillRunning)),
@@ -243,29 +246,29 @@
         }
     }
 
-    fn revoke(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> RevokeReply {
+    fn revoke(&mut self, guard: usize, incarnation: u64, ticket_attempt: &TicketAttempt) -> RevokeReply {
         let it = &mut self.guards[guard];
         if it.incarnation != incarnation && self.without != Without::TruthAfterRestart {
-            return RevokeReply::NoMemory;
+            return RevokeReply::GuardRestarted;
         }
         if self.without == Without::Tombstones {
-            return it.ledger.clone().revoke(leg);
+            return it.ledger.clone().revoke(ticket_attempt);
         }
-        it.ledger.revoke(leg)
+        it.ledger.revoke(ticket_attempt)
     }
 
     fn finish(&mut self, guard: usize, ending: Ending) -> Result<(), String> {
-        let Some(leg) = self.guards[guard].running.pop() else { return Ok(()) };
+        let Some(ticket_attempt) = self.guards[guard].running.pop() else { return Ok(()) };
         let outcome = match ending {
             Ending::Answered => done(),
             Ending::Silent => Outcome::Unknown(UnknownReason::EndpointSilent),
             Ending::Refused => Outcome::NotRun(Refusal::EndpointUnreachable),
         };
         if !matches!(outcome, Outcome::NotRun(_)) {
-            self.count_run(&leg.ticket)?;
+            self.count_run(&ticket_attempt.ticket)?;
         }
-        self.guards[guard].ledger.finish(&leg.ticket, outcome.clone());
-        self.network.push(Message::Reply { leg, outcome });
+        self.guards[guard].ledger.finish(&ticket_attempt.ticket, outcome.clone());
+        self.network.push(Message::Reply { ticket_attempt, outcome });
         Ok(())
     }
 
@@ -285,17 +288,17 @@
     }
 
     /// The home concludes from an answer; one to an older attempt is nobody's any more.
-    fn conclude(&mut self, leg: &TicketLeg, verdict: Verdict) -> Result<(), String> {
-        let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.leg == *leg);
+    fn conclude(&mut self, ticket_attempt: &TicketAttempt, verdict: Verdict) -> Result<(), String> {
+        let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.ticket_attempt == *ticket_attempt);
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
         let run = self.runs[at].take().expect("the position has a run");
         match verdict {
-            Verdict::Settle(outcome) => self.settle(leg.ticket.sequence, outcome),
-            Verdict::TryAnother(_) if leg.attempt < 3 => {
-                self.attempt(at, &leg.ticket, (run.guard + 1) % GUARDS);
+            Verdict::Settle(outcome) => self.settle(ticket_attempt.ticket.sequence, outcome),
+            Verdict::TryAnother(_) if ticket_attempt.attempt < 3 => {
+                self.attempt(at, &ticket_attempt.ticket, (run.guard + 1) % GUARDS);
                 Ok(())
             }
-            Verdict::TryAnother(refusal) => self.settle(leg.ticket.sequence, Outcome::NotRun(refusal)),
+            Verdict::TryAnother(refusal) => self.settle(ticket_attempt.ticket.sequence, Outcome::NotRun(refusal)),
             Verdict::Ask => {
                 self.ask_guard(&run);
                 self.runs[at] = Some(run);
@@ -305,24 +308,24 @@
     }
 
     fn ask_guard(&mut self, run: &Run) {
-        let Run { leg, guard, incarnation } = run.clone();
-        self.network.push(Message::Revoke { guard, incarnation, leg });
+        let Run { ticket_attempt, guard, incarnation } = run.clone();
+        self.network.push(Message::Revoke { guard, incarnation, ticket_attempt });
     }
 
     fn silence(&mut self, at: usize) -> Result<(), String> {
         let Some(run) = self.runs[at].clone() else { return Ok(()) };
         if self.without == Without::AskingBeforeAnotherGuard {
-            return self.conclude(&run.leg, Verdict::TryAnother(Refusal::GuardUnreachable));
+            return self.conclude(&run.ticket_attempt, Verdict::TryAnother(Refusal::GuardUnreachable));
         }
-        self.conclude(&run.leg, judge_silence(Silence::Lost))
+        self.conclude(&run.ticket_attempt, judge_silence(Silence::Lost))
     }
 
     fn resolve(&mut self) -> Result<(), String> {
         for (sequence, attempt, guard) in self.home.unresolved() {
             let ticket = Ticket { home: "home".into(), incarnation: self.home_incarnation, sequence };
-            let leg = TicketLeg { ticket, attempt, low_water: self.home.low_water() };
+            let ticket_attempt = TicketAttempt { ticket, attempt, low_water: self.home.low_water() };
             let at: usize = guard.daemon.parse().expect("guards are numbered");
-            match judge_revoke(self.revoke(at, guard.incarnation, &leg)) {
+            match judge_revoke(self.revoke(at, guard.incarnation, &ticket_attempt)) {
                 Verdict::Settle(outcome) => self.settle(sequence, outcome)?,
                 Verdict::TryAnother(refusal) => self.settle(sequence, Outcome::NotRun(refusal))?,
                 Verdict::Ask => (),
@@ -350,8 +353,8 @@
 impl Message {
     fn unawaited(self) -> Self {
         match self {
-            Self::Dispatch { guard, incarnation, leg, .. } => {
-                Self::Dispatch { guard, incarnation, leg, awaited: false }
+            Self::Dispatch { guard, incarnation, ticket_attempt, .. } => {
+                Self::Dispatch { guard, incarnation, ticket_attempt, awaited: false }
             }
             it => it,
         }
@@ -420,12 +423,12 @@
 #[test]
 fn a_late_dispatch_is_refused_after_its_tombstone_was_dropped() {
     let ticket = |sequence| Ticket { home: "home".into(), incarnation: 1, sequence };
-    let leg = |sequence, low_water| TicketLeg { ticket: ticket(sequence), attempt: 1, low_water };
+    let ticket_attempt = |sequence, low_water| TicketAttempt { ticket: ticket(sequence), attempt: 1, low_water };
     let mut ledger = Ledger::default();
-    assert_eq!(ledger.revoke(&leg(5, 1)), RevokeReply::Revoked);
+    assert_eq!(ledger.revoke(&ticket_attempt(5, 1)), RevokeReply::Revoked);
 
-    let opened = ledger.open(&leg(9, 8));
-    let late = ledger.open(&leg(5, 1));
+    let opened = ledger.open(&ticket_attempt(9, 8));
+    let late = ledger.open(&ticket_attempt(5, 1));
 
     assert_eq!(opened, Opening::Run);
     assert_eq!(late, Opening::Stale);
