--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,6 @@
-//! The messages between daemons, coded with MessagePack over HTTP.
+//! Messages between daemons, encoded with MessagePack and sent over HTTP.
 //!
-//! Times travel as what is left of them, in milliseconds, so no two clocks need agree.
+//! A deadline is sent as the time left until then, in milliseconds, so the daemons' clocks need not agree.
 
 use std::{fmt, str::FromStr};
 
@@ -11,20 +11,20 @@
     targets::{Importance, Version},
 };
 
-/// The header that carries the peer key.
+/// Name of the header in which a daemon sends the key that all daemons share.
 pub const PEER_KEY_HEADER: &str = "Jayreach-Peer-Key";
 
-/// Counts the tickets one incarnation of a home has issued.
+/// Number of a ticket among those that one incarnation of its ticket home issued.
 pub type Sequence = u64;
 
-/// The idempotency key of a request: which daemon answers for it, and its number there.
+/// Idempotency key of a request. The daemon that issued it, the ticket home, keeps the record of its attempts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The daemon that issued it.
+    /// The ticket home.
     pub home: DaemonId,
-    /// That daemon's incarnation.
+    /// Incarnation of the ticket home when it issued the ticket.
     pub incarnation: Incarnation,
-    /// The number it gave out.
+    /// Number of the ticket within that incarnation.
     pub sequence: Sequence,
 }
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// A text that is not a ticket.
+/// The text doesn't have the form `NAME.INCARNATION.SEQUENCE`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a ticket reads NAME.INCARNATION.SEQUENCE")]
+#[error("a ticket must have the form NAME.INCARNATION.SEQUENCE")]
 pub struct ParseTicketError;
 
 impl FromStr for Ticket {
@@ -55,58 +55,58 @@
     }
 }
 
-/// Tells two requests under the same ticket apart: a digest of method, path and body.
+/// Digest of a request's method, target and body. Detects the use of one ticket for two different requests.
 pub type Fingerprint = u64;
 
-/// One header of a request or an answer.
+/// One header of a request or a response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The field's name.
+    /// The header's name.
     pub name: Box<str>,
-    /// The field's value.
+    /// The header's value.
     pub value: Box<str>,
 }
 
-/// A caller's request, as it goes to the endpoint.
+/// A caller's request as it is sent to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Box<str>,
     /// Path and query.
     pub target: Box<str>,
-    /// The headers that are passed on.
+    /// The forwarded headers.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 impl CallerRequest {
-    /// Tells this request from others under the same ticket.
+    /// Digest of the method, the target and the body. Headers are not included.
     pub fn fingerprint(&self) -> Fingerprint {
         crate::util::stable_hash(&[self.method.as_bytes(), self.target.as_bytes(), &self.body])
     }
 }
 
-/// An endpoint's whole answer.
+/// An endpoint's complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that are passed on.
+    /// The forwarded headers.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// Why work did not run. A closed set: callers and operators see its names.
+/// Why a request did not run. Callers and operators see the names of the variants in kebab case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
     /// The daemon has no configuration yet.
     NoConfiguration,
-    /// No route leads from the path.
+    /// No route matches the path.
     NoRoute,
     /// The account is unknown.
     UnknownAccount,
@@ -114,27 +114,27 @@
     BadRequest,
     /// The body is too large.
     TooLarge,
-    /// Work of a class that is not idempotent came without a ticket.
+    /// The request's class is not idempotent, and it has no ticket.
     TicketNeeded,
     /// The ticket was used for another request.
     TicketMismatch,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
-    /// The endpoint is leaving or gone.
+    /// The endpoint is draining or deregistered.
     EndpointLeaving,
     /// The endpoint refused the connection.
     EndpointUnreachable,
-    /// The endpoint said that it shed the request.
+    /// The endpoint's response states that it shed the request.
     EndpointShed,
-    /// It could not have been answered in time.
+    /// The request could not have completed before its deadline.
     TooLate,
-    /// More important work took its place.
+    /// The daemon shed the request, because it has no capacity left or more important requests came first.
     Overloaded,
     /// The daemon is shutting down.
     ShuttingDown,
-    /// The guard has restarted or was asked a second time; the dispatch is stale.
+    /// The dispatch is for an earlier incarnation of the guard, or its attempt has already ended or been revoked.
     StaleDispatch,
-    /// The guard could not be connected to.
+    /// The connection to the guard could not be opened.
     GuardUnreachable,
     /// The dispatch was revoked before it ran.
     Revoked,
@@ -143,40 +143,40 @@
     HeadersTooLarge,
 }
 
-/// Why it is not known whether work ran.
+/// Why it is unknown whether a request ran. Callers see the names of the variants in kebab case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownReason {
-    /// The endpoint gave no whole answer in time.
+    /// The endpoint sent no complete response in time.
     EndpointSilent,
-    /// The guard gave no answer in time.
+    /// The guard sent no reply in time.
     GuardSilent,
-    /// The guard restarted and has lost its records.
+    /// The guard restarted and lost its records.
     #[serde(rename = "guard-forgot")]
     GuardStateLost,
-    /// The ticket's home cannot be asked.
+    /// The ticket home can't be reached.
     HomeUnreachable,
-    /// It is still running.
+    /// The request is still running.
     StillRunning,
-    /// The ticket was used before, and what became of it can't be told here.
+    /// The ticket was used before, and this daemon has no record of the outcome.
     TicketUsed,
-    /// The ticket's record is gone; it never runs again.
+    /// The ticket's record has expired. No request runs under this ticket any more.
     TicketExpired,
 }
 
-/// What became of a request. Every caller learns exactly one of these.
+/// Outcome of a request. Each caller receives exactly one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran, and this is the endpoint's whole answer.
+    /// The request ran; contains the endpoint's response.
     Done(EndpointResponse),
-    /// It did not run.
+    /// The request did not run.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
 impl Outcome {
-    /// Its name towards callers and in metrics.
+    /// Name of the outcome in responses to callers and in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Done(_) => "done",
@@ -186,131 +186,135 @@
     }
 }
 
-/// A ticket's part of a dispatch.
+/// One attempt to run the request of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketAttempt {
     /// The ticket.
     pub ticket: Ticket,
-    /// Counts the dispatches under this ticket, from 1.
+    /// Number of the attempt under this ticket, from 1.
     pub attempt: u32,
-    /// The lowest sequence the home still answers for.
+    /// Lowest sequence whose record the ticket home still has; guards drop the records of lower ones.
     pub low_water: Sequence,
 }
 
-/// Work on its way to a guard.
+/// Asks a guard to run a request at one of its endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// Names the request in the endpoint's view.
+    /// Request id that the endpoint receives in a header.
     pub request_id: Box<str>,
-    /// The guard's incarnation as the sender knows it; another one refuses.
+    /// Incarnation of the guard that the sender selected. A guard of another incarnation refuses the dispatch.
     pub guard_incarnation: Incarnation,
-    /// The endpoint that was chosen.
+    /// The selected endpoint.
     pub endpoint: EndpointId,
-    /// How much the work matters.
+    /// Importance of the request for load shedding.
     pub importance: Importance,
-    /// What is left of the deadline, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub budget_ms: u64,
-    /// Whether an earlier attempt failed, so that the guard opens a connection for this one: kept
-    /// ones may all have gone silent.
+    /// Whether an earlier attempt failed. The guard then opens a new connection, because its pooled connections may be
+    /// broken.
     pub retry: bool,
-    /// Present exactly if the class is not idempotent.
+    /// `Some` if and only if the request's class is not idempotent.
     #[serde(rename = "leg")]
     pub ticket_attempt: Option<TicketAttempt>,
-    /// The request.
+    /// The caller's request.
     pub work: CallerRequest,
 }
 
-/// A guard's answer to a dispatch, with what the ingress needs for its next choice.
+/// A guard's reply to a dispatch, with the endpoint's load for the ingress's next selection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchReply {
-    /// What became of the work.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The endpoint's slots in use and work queued.
+    /// Number of requests that run at the endpoint or wait for one of its slots.
     pub load: u32,
-    /// The lowest importance this endpoint admits without queueing behind more important work.
+    /// Lowest importance that the endpoint admits without queueing it behind more important requests.
     #[serde(rename = "admits")]
     pub min_importance: Importance,
 }
 
-/// Asks a guard to make sure that an attempt will not run any more.
+/// Asks a guard to revoke an attempt, so that it can't start any more, or to report how it ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revoke {
-    /// The guard's incarnation that got the dispatch.
+    /// Incarnation of the guard to which the dispatch was sent.
     pub guard_incarnation: Incarnation,
-    /// The attempt in question.
+    /// The attempt to revoke.
     #[serde(rename = "leg")]
     pub ticket_attempt: TicketAttempt,
-    /// How long the guard may wait for a run under way to end, in milliseconds.
+    /// How long the guard may wait for a running attempt to end, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What a guard knows of an attempt.
+/// A guard's reply to [`Revoke`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevokeReply {
-    /// It ran to this end.
+    /// The attempt ended with this outcome.
     Ended(Outcome),
-    /// It is running; ask again.
+    /// The attempt is still running; the request can be repeated.
     Running,
-    /// It has not run, and never will.
+    /// The attempt has not run and can't start any more.
     Revoked,
-    /// The guard has restarted since; it cannot tell.
+    /// The guard restarted after the dispatch and lost its records.
     #[serde(rename = "NoMemory")]
     GuardRestarted,
 }
 
-/// Work under a ticket on its way to the ticket's home.
+/// Sends a request under a ticket to its ticket home, which dispatches it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
     /// The ticket.
     pub ticket: Ticket,
-    /// What is left of the deadline, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub budget_ms: u64,
     /// The service.
     pub service: Box<str>,
-    /// The class, whose retry budget the home keeps to.
+    /// The class, whose retry budget the ticket home applies.
     pub class: Box<str>,
-    /// How much the work matters.
+    /// Importance of the request for load shedding.
     pub importance: Importance,
-    /// The request.
+    /// The caller's request.
     pub work: CallerRequest,
 }
 
-/// Asks a home, or a guard, for what it knows of a ticket.
+/// Asks a ticket home or a guard for the status of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketQuery {
     /// The ticket.
     pub ticket: Ticket,
 }
 
-/// What is known of a ticket.
+/// Status of a ticket, from the records of its ticket home or of a guard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TicketStatus {
-    /// Issued, and not used yet.
+    /// Issued and not used yet.
     #[serde(rename = "Fresh")]
     Unused,
-    /// Running.
+    /// A request under the ticket is running.
     Running,
-    /// Ended like this.
+    /// The request under the ticket ended with this outcome.
     Ended(Outcome),
-    /// So old that its record is gone.
+    /// The ticket's record has expired.
     Expired,
-    /// Never issued here, or not recorded here.
+    /// The daemon has no record of the ticket.
     NoRecord,
 }
 
-/// Which configuration a daemon has in force.
+/// Version of the configuration that is active at a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveVersion {
-    /// Zero if none.
+    /// Zero if no configuration is active.
     pub version: Version,
 }
 
-/// Codes a message.
+/// Encodes a message as MessagePack: structs by field position, enums by variant name.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    rmp_serde::to_vec(message).expect("messages have no type that cannot be coded")
+    rmp_serde::to_vec(message).expect("all message types can be encoded")
 }
 
-/// Decodes a message.
+/// Decodes a message that [`encode`] wrote.
+///
+/// # Errors
+///
+/// `bytes` are not a message of type `T`.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
