--- a/src/document.rs
+++ b/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads TOML with the place of every key, so that all findings of a file come at once.
+//! Reads TOML files key by key and collects findings with their places, so that an operator sees all of them at once.
 
 use std::{cell::RefCell, fs, net::SocketAddr, ops::Range, path::Path, time::Duration};
 
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Document<'a> {
-    /// A document of `text`, named `file` in findings.
+    /// Creates a document of `text`, which findings name as `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text, findings: RefCell::new(Findings::default()) }
     }
@@ -38,60 +38,60 @@
         self.findings.borrow_mut().push(place, message);
     }
 
-    /// Ends the reading: the findings in the order of their places.
+    /// Returns the findings in the order of their places.
     pub fn into_findings(self) -> Findings {
         self.findings.into_inner().sorted()
     }
 }
 
-/// One table of a document, read key by key; `reject_unknown_keys` reports the keys that were not read.
+/// One table of a document. [`Section::reject_unknown_keys`] reports the keys that were not read.
 pub struct Section<'a> {
     doc: &'a Document<'a>,
     name: Box<str>,
     start: usize,
     table: &'a DeTable<'a>,
-    asked: Vec<&'static str>,
+    read_keys: Vec<&'static str>,
 }
 
 impl<'a> Section<'a> {
-    /// A section over `table`, which begins at byte `start` and is called `name` in findings.
+    /// Creates a section of `table`, which begins at byte `start` and which findings name as `name`.
     pub fn new(doc: &'a Document<'a>, name: &str, start: usize, table: &'a DeTable<'a>) -> Self {
-        Self { doc, name: name.into(), start, table, asked: Vec::new() }
+        Self { doc, name: name.into(), start, table, read_keys: Vec::new() }
     }
 
-    /// Where the section begins, in bytes.
+    /// Byte offset of the section's start.
     pub fn start(&self) -> usize {
         self.start
     }
 
-    /// Where the value of `key` begins, or the section if it has none.
+    /// Byte offset of the value of `key`, or of the section's start if the key is missing.
     pub fn offset(&self, key: &str) -> usize {
         self.table.get(key).map_or(self.start, |it| it.span().start)
     }
 
-    fn value(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.push(key);
+    fn read_value(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
+        self.read_keys.push(key);
         self.table.get(key)
     }
 
-    /// A text value, if the key is there.
+    /// Reads an optional string.
     pub fn text(&mut self, key: &'static str) -> Option<Box<str>> {
-        let value = self.value(key)?;
+        let value = self.read_value(key)?;
         match value.get_ref() {
             DeValue::String(it) => Some(it.as_ref().into()),
             _ => self.wrong_type(key, value.span(), "a string"),
         }
     }
 
-    /// A text value that must be there.
+    /// Reads a required string.
     pub fn required_text(&mut self, key: &'static str) -> Option<Box<str>> {
         self.require(key);
         self.text(key)
     }
 
-    /// A whole number from `range`, if the key is there.
+    /// Reads an optional integer in `range`.
     pub fn number(&mut self, key: &'static str, range: Range<u64>) -> Option<u64> {
-        let value = self.value(key)?;
+        let value = self.read_value(key)?;
         let DeValue::Integer(it) = value.get_ref() else {
             return self.wrong_type(key, value.span(), "a whole number");
         };
@@ -103,32 +103,32 @@
         number
     }
 
-    /// A number from `range` that must be there.
+    /// Reads a required integer in `range`.
     pub fn required_number(&mut self, key: &'static str, range: Range<u64>) -> Option<u64> {
         self.require(key);
         self.number(key, range)
     }
 
-    /// An IP number with its port that must be there.
+    /// Reads a required IP address with port.
     pub fn required_address(&mut self, key: &'static str) -> Option<SocketAddr> {
         self.require(key);
         self.address(key)
     }
 
-    /// An IP number with its port, if the key is there.
+    /// Reads an optional IP address with port.
     pub fn address(&mut self, key: &'static str) -> Option<SocketAddr> {
         let text = self.text(key)?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.add_finding(key, format!("`{key}` must be an IP number and port such as \"10.0.0.7:7101\""));
+            self.add_finding(key, format!("`{key}` must be an IP address and port such as \"10.0.0.7:7101\""));
         }
         address
     }
 
-    /// A number from `range`, with or without a fraction, that must be there.
+    /// Reads a required number in `range`, with or without a fraction.
     pub fn required_decimal(&mut self, key: &'static str, range: Range<f64>) -> Option<f64> {
         self.require(key);
-        let value = self.value(key)?;
+        let value = self.read_value(key)?;
         let text = match value.get_ref() {
             DeValue::Integer(it) => it.as_str(),
             DeValue::Float(it) => it.as_str(),
@@ -142,29 +142,29 @@
         number
     }
 
-    /// True or false, if the key is there.
+    /// Reads an optional boolean.
     pub fn flag(&mut self, key: &'static str) -> Option<bool> {
-        let value = self.value(key)?;
+        let value = self.read_value(key)?;
         match value.get_ref() {
             DeValue::Boolean(it) => Some(*it),
             _ => self.wrong_type(key, value.span(), "true or false"),
         }
     }
 
-    /// A length of time such as "250ms", "2s" or "5m", if the key is there.
+    /// Reads an optional duration such as "250ms", "2s" or "5m".
     pub fn duration(&mut self, key: &'static str) -> Option<Duration> {
         let text = self.text(key)?;
         let parsed = parse_duration(&text);
         if parsed.is_none() {
-            let message = format!("`{key}` must be a length of time such as \"250ms\", \"2s\" or \"5m\"");
+            let message = format!("`{key}` must be a duration such as \"250ms\", \"2s\" or \"5m\"");
             self.doc.add_finding(self.offset(key), message);
         }
         parsed
     }
 
-    /// A list of texts; empty if the key is not there.
+    /// Reads a list of strings; empty if the key is missing.
     pub fn texts(&mut self, key: &'static str) -> Vec<Box<str>> {
-        let Some(value) = self.value(key) else { return Vec::new() };
+        let Some(value) = self.read_value(key) else { return Vec::new() };
         let DeValue::Array(array) = value.get_ref() else {
             self.wrong_type::<()>(key, value.span(), "a list of strings");
             return Vec::new();
@@ -179,9 +179,9 @@
         texts
     }
 
-    /// The tables of `[[key]]`; none if the key is not there.
+    /// Reads the tables of `[[key]]`; none if the key is missing.
     pub fn tables(&mut self, key: &'static str) -> Vec<Self> {
-        let Some(value) = self.value(key) else { return Vec::new() };
+        let Some(value) = self.read_value(key) else { return Vec::new() };
         let DeValue::Array(array) = value.get_ref() else {
             self.wrong_type::<()>(key, value.span(), &format!("a list of tables, written [[{key}]]"));
             return Vec::new();
@@ -196,9 +196,9 @@
         sections
     }
 
-    /// The named tables of `[key.NAME]`; none if the key is not there.
+    /// Reads the tables of `[key.NAME]` with their names; none if the key is missing.
     pub fn named_tables(&mut self, key: &'static str) -> Vec<(Box<str>, Self)> {
-        let Some(value) = self.value(key) else { return Vec::new() };
+        let Some(value) = self.read_value(key) else { return Vec::new() };
         let DeValue::Table(table) = value.get_ref() else {
             self.wrong_type::<()>(key, value.span(), &format!("tables, written [{key}.NAME]"));
             return Vec::new();
@@ -208,8 +208,8 @@
             let start = name.span().start;
             match item.get_ref() {
                 DeValue::Table(it) => {
-                    let title = format!("{key}.{}", name.get_ref());
-                    sections.push((name.get_ref().as_ref().into(), Self::new(self.doc, &title, start, it)));
+                    let section_name = format!("{key}.{}", name.get_ref());
+                    sections.push((name.get_ref().as_ref().into(), Self::new(self.doc, &section_name, start, it)));
                 }
                 _ => self.doc.add_finding(start, format!("`{key}.{}` must be a table", name.get_ref())),
             }
@@ -222,16 +222,16 @@
         self.doc.add_finding(self.offset(key), message);
     }
 
-    /// Reports every key that was not asked for; `reason` may explain why a key is refused.
-    pub fn reject_unknown_keys(self, reason: fn(&str) -> Option<&'static str>) {
+    /// Records a finding for every key that was not read. `refusal_reason` returns why a known key is refused.
+    pub fn reject_unknown_keys(self, refusal_reason: fn(&str) -> Option<&'static str>) {
         for key in self.table.keys() {
             let name: &str = key.get_ref().as_ref();
-            if self.asked.contains(&name) {
+            if self.read_keys.contains(&name) {
                 continue;
             }
-            let message = match reason(name) {
+            let message = match refusal_reason(name) {
                 Some(reason) => format!("`{name}` is refused: {reason}"),
-                None => format!("unknown key `{name}` in {}; known: {}", self.name, self.asked.join(", ")),
+                None => format!("unknown key `{name}` in {}; known: {}", self.name, self.read_keys.join(", ")),
             };
             self.doc.add_finding(key.span().start, message);
         }
@@ -243,13 +243,13 @@
         }
     }
 
-    fn wrong_type<T>(&self, key: &str, span: Range<usize>, wanted: &str) -> Option<T> {
-        self.doc.add_finding(span.start, format!("`{key}` must be {wanted}"));
+    fn wrong_type<T>(&self, key: &str, span: Range<usize>, expected: &str) -> Option<T> {
+        self.doc.add_finding(span.start, format!("`{key}` must be {expected}"));
         None
     }
 }
 
-/// Parses "250ms", "2s", "5m" or "1h"; zero is refused.
+/// Parses a duration such as "250ms", "2s", "5m" or "1h". Returns `None` for zero and malformed texts.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit())?;
     let count: u64 = text[..digits].parse().ok()?;
@@ -263,30 +263,37 @@
     (millis > 0).then(|| Duration::from_millis(millis))
 }
 
-/// Writes a length of time so that `parse_duration` reads it back.
+/// Formats a duration for [`parse_duration`]; fractions of a millisecond are cut off.
 pub fn format_duration(duration: Duration) -> Box<str> {
     let millis = duration.as_millis();
     if millis.is_multiple_of(1_000) { format!("{}s", millis / 1_000).into() } else { format!("{millis}ms").into() }
 }
 
-/// Reads a file of settings; all findings are returned together.
+/// Reads the file at `path` and parses it with `parse`, which gets the file's name and text.
+///
+/// # Errors
+///
+/// The file can't be read, or `parse` returns findings.
 pub fn load<T>(path: &Path, parse: impl FnOnce(&str, &str) -> Result<T, Findings>) -> Result<T, Error> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|it| Error::io(name.clone(), it))?;
     parse(&name, &text).map_err(Error::Findings)
 }
 
-/// Parses settings with `read`, which returns `None` if something that must be there is not; all
-/// findings are returned together, unknown keys included.
+/// Parses settings with `read`, which returns `None` if a required key is missing or invalid.
+///
+/// # Errors
+///
+/// All findings, including unknown keys.
 pub fn parse_settings<T>(
     file: &str,
     text: &str,
-    title: &str,
+    section_name: &str,
     read: impl FnOnce(&mut Section<'_>) -> Option<T>,
 ) -> Result<T, Findings> {
     let doc = Document::new(file, text);
     let table = doc.parse();
-    let mut section = Section::new(&doc, title, 0, table.get_ref());
+    let mut section = Section::new(&doc, section_name, 0, table.get_ref());
     let settings = read(&mut section);
     section.reject_unknown_keys(|_| None);
     let findings = doc.into_findings();
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! Findings with their place in a file, and the error type of the commands.
+//! Findings in an operator's files, with their places, and the error type of the commands.
 
 use std::{fmt, io};
 
@@ -6,19 +6,19 @@
 
 use crate::store::StoreError;
 
-/// A position in a file an operator wrote. Lines and columns count from 1.
+/// Position in an operator's file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The file's name as the operator gave it.
+    /// Name of the file as the operator gave it.
     pub file: Box<str>,
-    /// The line, from 1.
+    /// Line, from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
 impl Place {
-    /// The place of byte `offset` in `text`.
+    /// Position of byte `offset` in `text`.
     pub fn at(file: &str, text: &str, offset: usize) -> Self {
         let before = text.get(..offset).unwrap_or(text);
         let line_start = before.rfind('\n').map_or(0, |it| it + 1);
@@ -36,12 +36,12 @@
     }
 }
 
-/// One thing wrong with an operator's input.
+/// One problem in an operator's file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Where it stands.
+    /// Position of the problem.
     pub place: Place,
-    /// What is wrong and what would be right.
+    /// The problem and what is expected instead.
     pub message: Box<str>,
 }
 
@@ -57,7 +57,7 @@
         self.list.push(Finding { place, message: message.into() });
     }
 
-    /// The findings, in the order of their places.
+    /// Returns the findings in the order of their places.
     pub fn sorted(mut self) -> Self {
         self.list.sort();
         self
@@ -68,7 +68,7 @@
         &self.list
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
@@ -83,67 +83,67 @@
     }
 }
 
-/// What a command can fail with.
+/// Why a command failed. [`Error::exit_code`] gives the exit code for each.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The input has findings.
+    /// The operator's file has findings.
     #[error("{0}")]
     Findings(Findings),
-    /// A file or socket could not be used.
+    /// An operation on a file or a socket failed.
     #[error("{context}: {source}")]
     Io {
-        /// What was being done.
+        /// The operation, or the file or key it concerns.
         context: Box<str>,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The platform's store could not be used.
+    /// A request to the platform's store failed.
     #[error("{context}: {source}")]
     Store {
-        /// What was being done.
+        /// The operation, or the file or key it concerns.
         context: Box<str>,
         /// The store's error.
         source: StoreError,
     },
-    /// Another operator's change was accepted first; nothing was changed by this one.
+    /// Another operator's change was accepted first, so this one changed nothing.
     #[error("not applied: {0}")]
     Conflict(Box<str>),
-    /// A stored object could not be understood.
+    /// A stored object is missing or malformed.
     #[error("{context}: {message}")]
     Corrupt {
-        /// Which object.
+        /// The object's key.
         context: Box<str>,
-        /// What is wrong with it.
+        /// What is wrong with the object.
         message: Box<str>,
     },
-    /// A daemon could not be asked, or it refused.
+    /// A request to a daemon failed, or the daemon refused it.
     #[error("daemon at {address}: {message}")]
     Daemon {
         /// The daemon's address.
         address: Box<str>,
-        /// What went wrong.
+        /// The failure, or the daemon's response.
         message: Box<str>,
     },
     /// The command line is incomplete.
     #[error("{0}")]
     Usage(Box<str>),
-    /// A wait ended before what was waited for.
+    /// The time limit passed before the expected condition held.
     #[error("{0}")]
     TimedOut(Box<str>),
 }
 
 impl Error {
-    /// Wraps a system error with what was being done.
+    /// Wraps a system error; `context` names the operation or the file.
     pub fn io(context: impl Into<Box<str>>, source: io::Error) -> Self {
         Self::Io { context: context.into(), source }
     }
 
-    /// Wraps a platform error with what was being done.
+    /// Wraps a store error; `context` names the operation or the key.
     pub fn platform(context: impl Into<Box<str>>, source: StoreError) -> Self {
         Self::Store { context: context.into(), source }
     }
 
-    /// The process's exit code for this error.
+    /// Exit code of the process for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Findings(_) | Self::Usage(_) => 2,
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers that several modules share.
+//! Encoding, locking, clock and hash functions that several modules use.
 
 use std::{
     fmt::Write as _,
@@ -6,7 +6,7 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     let mut out = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
@@ -15,17 +15,17 @@
     out
 }
 
-/// Locks `mutex`; a panic of another holder is that thread's own matter.
+/// Locks `mutex`, even if a thread that held it panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Seconds since 1970 by this machine's clock; for people only, never for decisions.
+/// Seconds since 1970 by this machine's clock. Only for display: clocks of different machines may disagree.
 pub fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_secs())
 }
 
-/// A 64-bit hash that is the same on every machine and in every release.
+/// 64-bit hash of byte strings, from SHA-256. It is the same on every machine and in every release.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     use sha2::{Digest as _, Sha256};
     let mut hasher = Sha256::new();
@@ -34,10 +34,10 @@
         hasher.update(part);
     }
     let digest = hasher.finalize();
-    u64::from_le_bytes(digest[..8].try_into().expect("a SHA-256 has 32 bytes"))
+    u64::from_le_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
 }
 
-/// A fast 64-bit hash of numbers that are hashes or counts themselves; the same on every machine.
+/// Fast, non-cryptographic 64-bit hash of integers such as hashes and counters. It is the same on every machine.
 pub fn mix(words: &[u64]) -> u64 {
     let mut hash = 0x9e37_79b9_7f4a_7c15_u64;
     for word in words {
