--- a/src/chart.rs
+++ b/src/chart.rs
@@ -1,24 +1,24 @@
-//! State charts: files in `charts/` that this module interprets.
+//! Interprets the state charts in `charts/`, so that a state machine allows only the transitions that its file lists.
 
 use serde::{Deserialize, de::DeserializeOwned};
 
-/// One row of a chart.
+/// One transition of a chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct Transition<S, E> {
-    /// The state before.
+    /// State before the event.
     pub from: S,
-    /// The event.
+    /// Event that causes the transition.
     pub on: E,
-    /// The state after.
+    /// State after the event.
     pub to: S,
 }
 
-/// A chart over a closed set of states and events.
+/// State chart: an initial state and the transitions between states.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Chart<S, E> {
-    /// Where everything begins.
+    /// State before the first event.
     pub initial: S,
-    /// At most one row for a state and an event.
+    /// The transitions; at most one for each state and event.
     pub transitions: Vec<Transition<S, E>>,
 }
 
@@ -27,23 +27,25 @@
     S: Copy + PartialEq + DeserializeOwned,
     E: Copy + PartialEq + DeserializeOwned,
 {
-    /// Parses a chart that is part of the program.
+    /// Parses the TOML text of a chart that is embedded in the program.
     ///
     /// # Panics
     ///
-    /// If the text is not a chart over these states and events, or a row stands twice.
+    /// Panics if the text is not a chart with these states and events, or if it has two transitions for a state and an
+    /// event.
     pub fn embedded(text: &str) -> Self {
         let chart: Self = toml::from_str(text).expect("an embedded chart is well formed");
-        for (at, row) in chart.transitions.iter().enumerate() {
-            let doubled = chart.transitions[..at].iter().any(|it| it.from == row.from && it.on == row.on);
-            assert!(!doubled, "an embedded chart has one row for a state and an event");
+        for (index, transition) in chart.transitions.iter().enumerate() {
+            let is_duplicate =
+                chart.transitions[..index].iter().any(|it| it.from == transition.from && it.on == transition.on);
+            assert!(!is_duplicate, "an embedded chart has one transition for a state and an event");
         }
         chart
     }
 
-    /// The state after `event`; `None` if the event means nothing in this state.
+    /// Returns the state after `event`, or `None` if the chart has no transition for it in `state`.
     pub fn next(&self, state: S, event: E) -> Option<S> {
-        let row = self.transitions.iter().find(|it| it.from == state && it.on == event)?;
-        Some(row.to)
+        let transition = self.transitions.iter().find(|it| it.from == state && it.on == event)?;
+        Some(transition.to)
     }
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,52 +1,52 @@
-//! What became of a request, an endpoint or a version of the configuration, from the event lines of
-//! many proxies.
+//! Finds out from the event lines of many proxies how a request ended, which state an endpoint had last, or where a
+//! version of the configuration was active.
 
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// One event line.
+/// One event line of a proxy.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EventLine {
-    /// By the clock of the VM that wrote it, in seconds since 1970.
+    /// Time of the event by the clock of the proxy's VM, in seconds since 1970.
     pub time: f64,
-    /// Who wrote it.
+    /// Name of the proxy that wrote the line.
     pub proxy: Box<str>,
-    /// What it tells.
+    /// Kind of event.
     pub event: Box<str>,
-    /// All else.
+    /// All other fields of the line.
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
-/// Which lines belong together.
+/// What an explanation is about.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
-    /// A caller's attempt, with the calls that its work made.
+    /// A request by its id, with the nested calls that it caused.
     Request(Box<str>),
-    /// An incarnation of an endpoint.
+    /// An incarnation of an endpoint, by its id.
     Endpoint(Box<str>),
     /// A version of the configuration.
     Config(u64),
-    /// Requests that ask for the same.
+    /// All requests with the same fingerprint.
     Fingerprint(Box<str>),
 }
 
-/// The lines about a subject and what follows from them.
+/// The lines about a subject and the cause that they show.
 #[derive(Debug, Clone)]
 pub struct History {
-    /// In the order of their times.
+    /// The lines about the subject, ordered by time.
     pub lines: Vec<EventLine>,
-    /// The cause, in a sentence.
+    /// Sentences that state the cause.
     pub cause: String,
 }
 
-/// How long before a failure a turn of the endpoint's standing bears on it, in seconds.
-const RECENT: f64 = 5.0;
+/// Maximum time between a failure and a change of the endpoint's standing that is reported with it, in seconds.
+const STANDING_WINDOW_S: f64 = 5.0;
 
 impl EventLine {
-    /// Parses one line; `None` if it is none of ours.
+    /// Parses one line. Returns `None` if it is not an event line.
     pub fn parse(text: &str) -> Option<Self> {
-        // Other tools may put their own words before the line.
+        // Log tools may put a prefix before the JSON object.
         serde_json::from_str(&text[text.find('{')?..]).ok()
     }
 
@@ -73,14 +73,15 @@
     }
 }
 
-/// Finds what `lines` say of `subject`.
+/// Selects the lines about `subject` and derives the cause from them.
 pub fn explain(lines: &[EventLine], subject: &Subject) -> History {
     let mut about: Vec<EventLine> = lines.iter().filter(|it| it.is_about(subject)).cloned().collect();
-    // What others like it did is part of the story of a request that was held back.
-    let held_back = about.iter().map(|it| it.text("quarantined")).find(|it| !it.is_empty());
-    if let Some(like_it) = held_back.map(|it| Subject::Fingerprint(it.into())) {
-        let tells = |it: &&EventLine| matches!(&*it.event, "ended-under" | "quarantine") && it.is_about(&like_it);
-        about.extend(lines.iter().filter(tells).filter(|it| !it.is_about(subject)).cloned());
+    // The crashes that led to the quarantine were under other requests with the same fingerprint.
+    let quarantined = about.iter().map(|it| it.text("quarantined")).find(|it| !it.is_empty());
+    if let Some(same_fingerprint) = quarantined.map(|it| Subject::Fingerprint(it.into())) {
+        let is_evidence =
+            |it: &&EventLine| matches!(&*it.event, "ended-under" | "quarantine") && it.is_about(&same_fingerprint);
+        about.extend(lines.iter().filter(is_evidence).filter(|it| !it.is_about(subject)).cloned());
     }
     about.sort_by(|a, b| a.time.total_cmp(&b.time));
     let cause = match subject {
@@ -93,17 +94,17 @@
 }
 
 fn request_cause(id: &str, about: &[EventLine], all: &[EventLine]) -> String {
-    let own = |event: &str| about.iter().rev().find(|it| &*it.event == event && it.text("request") == id);
-    if let Some(it) = own("rejected") {
+    let last_event = |event: &str| about.iter().rev().find(|it| &*it.event == event && it.text("request") == id);
+    if let Some(it) = last_event("rejected") {
         return format!("{} refused it with {}: {}.", it.proxy, it.number("status"), it.text("why"));
     }
-    if let Some(it) = own("cancelled") {
+    if let Some(it) = last_event("cancelled") {
         let (after, attempts) = (it.number("after_ms"), it.number("attempts"));
         return format!("Its caller left after {after} ms; it had been sent to {attempts} endpoint(s).");
     }
-    let Some(answer) = own("answered") else { return untold(about, all) };
+    let Some(answer) = last_event("answered") else { return describe_missing_end(about, all) };
     let status = answer.number("status");
-    let failed = own("failed");
+    let failed = last_event("failed");
     match answer.text("outcome") {
         "answered" if status < 500 => {
             format!(
@@ -112,37 +113,37 @@
                 answer.number("attempts")
             )
         }
-        "answered" => endpoint_failed(id, status, failed, about, all),
-        "full" => no_place(answer, about),
+        "answered" => describe_endpoint_failure(id, status, failed, about, all),
+        "full" => describe_missing_grant(answer, about),
         "quarantined" => {
             let fingerprint = answer.text("quarantined");
-            format!("It was held back: {} It has not run.", ends_under(fingerprint, about))
+            format!("It was held back: {} It has not run.", describe_ended_endpoints(fingerprint, about))
         }
-        "no-endpoint" => format!("{} knew no endpoint of {}.", answer.proxy, answer.text("service")),
+        "no-endpoint" => format!("{} had no endpoint of {} in its directory.", answer.proxy, answer.text("service")),
         "unknown" => format!(
-            "{} It may have run, so it was not sent again, and 502 promises nothing.",
-            failed.map_or_else(|| "No attempt's end is known.".to_owned(), attempt_failed)
+            "{} It may have run, so it was not sent again; status 502 leaves open whether it ran.",
+            failed.map_or_else(|| "How its attempts ended is unknown.".to_owned(), describe_failed_attempt)
         ),
         "timeout" => format!(
-            "No answer came within its time ({} ms). {}",
+            "No response came within its timeout ({} ms). {}",
             answer.number("took_ms"),
-            failed.map_or_else(String::new, attempt_failed)
+            failed.map_or_else(String::new, describe_failed_attempt)
         ),
         it => format!("It ended with {status} ({it})."),
     }
 }
 
-fn untold(about: &[EventLine], all: &[EventLine]) -> String {
+fn describe_missing_end(about: &[EventLine], all: &[EventLine]) -> String {
     let dropped: u64 =
         all.iter().filter(|it| &*it.event == "dropped").map(|it| it.number("ordinary") + it.number("full")).sum();
-    let told = if about.is_empty() { "No line names it" } else { "No line tells its end" };
+    let missing = if about.is_empty() { "No line names it" } else { "No line says how it ended" };
     format!(
-        "{told}: these files don't hold its ingress's lines, it is still under way, its ingress ended, or its lines were \
-         left out ({dropped} were, in these files)."
+        "{missing}: these files lack the lines of its ingress, it is still running, its ingress stopped, or its lines were \
+         dropped ({dropped} lines were dropped, according to these files)."
     )
 }
 
-fn endpoint_failed(
+fn describe_endpoint_failure(
     id: &str,
     status: u64,
     failed: Option<&EventLine>,
@@ -162,36 +163,41 @@
     }
     let Some(failed) = failed else { return format!("Its endpoint answered {status} itself.") };
     let guard = failed.text("guard");
-    let turned = all.iter().rfind(|it| {
+    let turned_suspect = all.iter().rfind(|it| {
         &*it.event == "standing"
             && *it.proxy == *guard
             && it.text("standing") == "suspect"
-            && (it.time - failed.time).abs() < RECENT
+            && (it.time - failed.time).abs() < STANDING_WINDOW_S
     });
-    let gray = turned.map_or_else(String::new, |it| {
+    let suspicion = turned_suspect.map_or_else(String::new, |it| {
         format!(" Its guard made it suspect of failing gray by request {} ({}).", it.text("request"), it.text("why"))
     });
-    format!("The endpoint beside {guard} answered {status} itself after {} ms.{gray}", failed.number("took_ms"))
+    format!(
+        "The endpoint on the VM of {guard} answered {status} itself after {} ms.{suspicion}",
+        failed.number("took_ms")
+    )
 }
 
-fn no_place(answer: &EventLine, about: &[EventLine]) -> String {
-    let refused = |why: &str| about.iter().filter(|it| &*it.event == "no-place" && it.text("why") == why).count();
+fn describe_missing_grant(answer: &EventLine, about: &[EventLine]) -> String {
+    let count_refusals =
+        |why: &str| about.iter().filter(|it| &*it.event == "no-place" && it.text("why") == why).count();
     format!(
-        "No place became free in {} ms at {}: of {} guards asked, {} had an endpoint that failed or declined of late, {} had none that \
-         takes work, {} had no allowance for repeats left; the others' queues did not move in time. It has not run.",
+        "No place became free in {} ms at {}: of {} guards asked, {} had an endpoint that recently failed or declined \
+         requests, {} had none that accepts requests, {} had exhausted the retry budget; the others' queues did not move \
+         in time. It has not run.",
         answer.number("waited_ms"),
         answer.text("service"),
         answer.number("asked"),
-        refused("Suspect"),
-        refused("Elsewhere"),
-        refused("NoAllowance"),
+        count_refusals("Suspect"),
+        count_refusals("Elsewhere"),
+        count_refusals("NoAllowance"),
     )
 }
 
-fn attempt_failed(it: &EventLine) -> String {
+fn describe_failed_attempt(it: &EventLine) -> String {
     if it.fields.get("why").and_then(|it| it.get("unknown")).and_then(Value::as_str) == Some("Ended") {
         return format!(
-            "The endpoint beside {} ended with it after {} ms; explain --fingerprint {} tells of others like it.",
+            "The endpoint on the VM of {} ended with it after {} ms; explain --fingerprint {} shows others like it.",
             it.text("guard"),
             it.number("took_ms"),
             it.text("fingerprint")
@@ -207,18 +213,20 @@
 }
 
 fn fingerprint_cause(fingerprint: &str, about: &[EventLine]) -> String {
-    let held_back = about.iter().filter(|it| !it.text("quarantined").is_empty()).count();
+    let refused = about.iter().filter(|it| !it.text("quarantined").is_empty()).count();
     let last = about.iter().rfind(|it| &*it.event == "quarantine");
-    let now = match last {
-        Some(it) if it.fields.get("held").and_then(Value::as_bool) == Some(true) => "It was held back last.".to_owned(),
-        Some(it) => format!("It is held back no longer ({} at {}).", it.text("source"), it.proxy),
+    let state = match last {
+        Some(it) if it.fields.get("held").and_then(Value::as_bool) == Some(true) => {
+            "At the last change it was held back.".to_owned()
+        }
+        Some(it) => format!("It is no longer held back ({} at {}).", it.text("source"), it.proxy),
         None => "It was never held back.".to_owned(),
     };
-    format!("{} {held_back} request(s) were held back. {now}", ends_under(fingerprint, about))
+    format!("{} {refused} request(s) were held back. {state}", describe_ended_endpoints(fingerprint, about))
 }
 
-/// Which endpoints ended under requests with this fingerprint.
-fn ends_under(fingerprint: &str, about: &[EventLine]) -> String {
+/// Lists the endpoints that ended while they ran requests with this fingerprint.
+fn describe_ended_endpoints(fingerprint: &str, about: &[EventLine]) -> String {
     let ends: Vec<String> = about
         .iter()
         .filter(|it| &*it.event == "ended-under" && it.text("fingerprint") == fingerprint)
@@ -229,9 +237,9 @@
 
 fn endpoint_cause(id: &str, about: &[EventLine]) -> String {
     let last = about.iter().rev().find(|it| &*it.event == "endpoint");
-    let turned = about.iter().rev().find(|it| &*it.event == "standing");
+    let last_turn = about.iter().rev().find(|it| &*it.event == "standing");
     let phase = last.map_or("never announced", |it| it.text("phase"));
-    let standing = match turned {
+    let standing = match last_turn {
         Some(it) if it.text("standing") == "clean" => "clean again".to_owned(),
         Some(it) => format!("{} since request {} ({})", it.text("standing"), it.text("request"), it.text("why")),
         None => "never suspect".to_owned(),
@@ -246,14 +254,14 @@
     let from_peers = about.iter().filter(|it| it.text("source") == "peer").count();
     format!(
         "Version {version} was in force at {} of {} proxies within {:.3} s of the first; {from_peers} had it from a peer.",
-        proxies(about),
-        proxies(all),
+        count_proxies(about),
+        count_proxies(all),
         last.time - first.time
     )
 }
 
-/// How many proxies wrote these lines; one that restarted counts once.
-fn proxies(lines: &[EventLine]) -> usize {
+/// Number of proxies that wrote these lines. A proxy that restarted counts once.
+fn count_proxies(lines: &[EventLine]) -> usize {
     let mut names: Vec<&str> = lines.iter().map(|it| &*it.proxy).collect();
     names.sort_unstable();
     names.dedup();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! A proxy fleet for back ends with gray failures.
 //!
-//! Pure decisions are in [`decide`], [`ticket`] and [`rows`]; sockets of the users' platform in [`proxy`], with its
-//! names and formats in [`platform`]; the program's own interface is served by [`daemon`].
+//! One small process runs beside each endpoint. [`proxy`] is that process on the users' platform, whose names and formats
+//! are in [`platform`]; [`daemon`] is the one with the project's own interface. [`decide`], [`ticket`] and [`rows`] make
+//! the decisions and do no I/O.
 
 pub mod chart;
 pub mod cmd;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: for people by default, one JSON object a line by choice.
+//! Writes log lines to standard error, as text or as one JSON object per line.
 
 use std::io::{self, Write};
 
@@ -10,15 +10,19 @@
 
 use crate::settings::LogFormat;
 
-/// Starts logging to standard error.
+/// Starts logging to standard error. Logging stops when the returned handle is dropped.
+///
+/// # Errors
+///
+/// The logger can't be started, for example because one is already running.
 pub fn start(level: LevelFilter, format: LogFormat) -> Result<LoggerHandle, FlexiLoggerError> {
-    let line = match format {
+    let format_line = match format {
         LogFormat::Text => text_line,
         LogFormat::Json => json_line,
     };
-    // Libraries stay at warnings; their detail is not about changes of our state.
+    // Libraries log warnings and errors only.
     let spec = format!("warn, jayreach={level}");
-    Logger::try_with_str(spec)?.format(line).log_to_stderr().start()
+    Logger::try_with_str(spec)?.format(format_line).log_to_stderr().start()
 }
 
 fn text_line(out: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> Result<(), io::Error> {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `jayreach` program.
+//! Entry point of the `jayreach` program.
 
 use std::process::ExitCode;
 
