--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `jayreach apply`
+//! `jayreach apply`: makes a targets file the configuration, and can wait until all daemons have it.
 
 use std::{
     net::SocketAddr,
@@ -10,39 +10,40 @@
 use serde::Serialize;
 
 use crate::{
-    cmd::{Run, args, ask_daemon, print_json, read_targets},
+    cmd::{Run, args, call_daemon, print_json, read_targets},
     daemon::RolloutStatus,
     error::Error,
     store::{Applied, StoreClient, apply},
     targets::{Difference, Version},
 };
 
-/// How often a daemon is asked where the change is in force.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// Time between two requests for the rollout status.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What `--json` prints.
+/// Output of `--json`.
 #[derive(Serialize)]
 struct Report {
     version: Version,
     changed: bool,
     differences: Vec<Difference>,
-    in_force: Option<RolloutStatus>,
+    #[serde(rename = "in_force")]
+    rollout: Option<RolloutStatus>,
 }
 
 impl Run for args::Apply {
     fn run(self) -> Result<(), Error> {
-        let daemon = self.daemon_to_ask()?;
+        let daemon = self.daemon_to_wait_for()?;
         let file = read_targets(&self.file)?;
         let store = StoreClient::new(self.store);
-        let patience = Duration::from_secs(self.patience);
+        let timeout = Duration::from_secs(self.timeout_s);
         let based_on = self.based_on.or(file.based_on);
-        let applied = apply(&store, &file.targets, based_on, &self.who, &self.why, patience)?;
+        let applied = apply(&store, &file.targets, based_on, &self.who, &self.why, timeout)?;
         let mut report = Report::new(applied);
         if !self.json {
             report.print();
         }
         if let Some(daemon) = daemon {
-            report.in_force = Some(wait(daemon, report.version, Instant::now() + patience, self.json)?);
+            report.rollout = Some(wait_until_active(daemon, report.version, Instant::now() + timeout, self.json)?);
         }
         if self.json {
             print_json(&report);
@@ -52,14 +53,18 @@
 }
 
 impl args::Apply {
-    /// The daemon that `--wait` asks; known before anything is changed.
-    fn daemon_to_ask(&self) -> Result<Option<SocketAddr>, Error> {
+    /// Returns the address of the daemon that reports the rollout, if `--wait` is given.
+    ///
+    /// # Errors
+    ///
+    /// `--daemon` is missing. Called before the change, so that nothing is changed then.
+    fn daemon_to_wait_for(&self) -> Result<Option<SocketAddr>, Error> {
         match (self.wait, self.daemon) {
             (false, _) => Ok(None),
             (true, Some(it)) => Ok(Some(it)),
             (true, None) => Err(Error::Daemon {
                 address: "--daemon".into(),
-                message: "--wait needs the local address of a daemon to ask; nothing was changed".into(),
+                message: "--wait needs --daemon with the local address of a daemon; nothing was changed".into(),
             }),
         }
     }
@@ -68,14 +73,14 @@
 impl Report {
     fn new(applied: Applied) -> Self {
         match applied {
-            Applied::Accepted { version, differences } => Self { version, changed: true, differences, in_force: None },
-            Applied::Unchanged { version } => Self { version, changed: false, differences: Vec::new(), in_force: None },
+            Applied::Accepted { version, differences } => Self { version, changed: true, differences, rollout: None },
+            Applied::Unchanged { version } => Self { version, changed: false, differences: Vec::new(), rollout: None },
         }
     }
 
     fn print(&self) {
         if !self.changed {
-            println!("version {} already says so; nothing was changed", self.version);
+            println!("version {} already has these targets; nothing was changed", self.version);
             return;
         }
         println!("accepted as version {}", self.version);
@@ -85,34 +90,44 @@
     }
 }
 
-/// Waits until no daemon that can be asked is behind.
-fn wait(daemon: SocketAddr, version: Version, deadline: Instant, quiet: bool) -> Result<RolloutStatus, Error> {
+/// Waits until `version` or a later one is active at all daemons that `daemon` lists.
+///
+/// # Errors
+///
+/// `daemon` can't be asked, or `deadline` passes.
+fn wait_until_active(
+    daemon: SocketAddr,
+    version: Version,
+    deadline: Instant,
+    is_quiet: bool,
+) -> Result<RolloutStatus, Error> {
     let started = Instant::now();
     loop {
-        let count = ask(daemon, version)?;
-        let RolloutStatus { daemons, active, .. } = count;
+        let rollout = query_rollout(daemon, version)?;
+        let RolloutStatus { daemons, active, .. } = rollout;
         if active == daemons {
-            if !quiet {
+            if !is_quiet {
                 println!("in force in all {daemons} daemons after {:.1} s", started.elapsed().as_secs_f64());
             }
-            return Ok(count);
+            return Ok(rollout);
         }
         if Instant::now() >= deadline {
-            let list = |names: &[Box<str>]| names.join(", ");
+            let join = |names: &[Box<str>]| names.join(", ");
             let message = format!(
                 "version {version} is accepted, and in force in {active} of {daemons} daemons; behind: {}; silent: {}",
-                list(&count.outdated),
-                list(&count.unreachable)
+                join(&rollout.outdated),
+                join(&rollout.unreachable)
             );
             return Err(Error::TimedOut(message.into()));
         }
-        thread::sleep(ASK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn ask(daemon: SocketAddr, version: Version) -> Result<RolloutStatus, Error> {
+/// Asks the daemon at the local address `daemon` at how many daemons `version` or a later one is active.
+fn query_rollout(daemon: SocketAddr, version: Version) -> Result<RolloutStatus, Error> {
     let address = daemon.to_string();
-    let bytes = ask_daemon(&address, Method::GET, &format!("/in-force?version={version}"))?;
+    let bytes = call_daemon(&address, Method::GET, &format!("/in-force?version={version}"))?;
     serde_json::from_slice(&bytes)
         .map_err(|it| Error::Daemon { address: address.into(), message: it.to_string().into() })
 }
--- a/src/cmd/args.rs
+++ b/src/cmd/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line: commands, flags and their help texts. The parser takes the names of flags from the fields.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,7 +6,7 @@
 
 use crate::targets::Version;
 
-/// What to do.
+/// A command with its arguments.
 #[derive(Debug, Clone)]
 pub(super) enum Command {
     Daemon(Daemon),
@@ -22,7 +22,7 @@
     Explain(Explain),
 }
 
-/// The parser of the command line.
+/// Builds the parser of the command line.
 pub(super) fn command() -> bpaf::OptionParser<Command> {
     let daemon = daemon().map(Command::Daemon);
     let proxy = proxy().map(Command::Proxy);
@@ -39,36 +39,36 @@
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("A proxy fleet for back ends with gray failures")
-        .footer("Operators write targets; the system is responsible for outcomes. See docs/OPERATIONS.md.")
+        .footer("Operators set targets and the system chooses how to meet them. See docs/OPERATIONS.md.")
 }
 
-/// Run a daemon beside the endpoints of this VM
+/// Run a daemon for the endpoints of this VM
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach daemon --settings /etc/jayreach.toml"))]
 pub(super) struct Daemon {
-    /// The daemon's settings
+    /// The daemon's settings file
     #[bpaf(argument("FILE"))]
     pub(super) settings: PathBuf,
 }
 
-/// Run a proxy beside the endpoint of this VM, on the users' platform
+/// Run a proxy for the endpoint of this VM, on the users' platform
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach proxy --settings /etc/jayreach/boot.toml"))]
 pub(super) struct Proxy {
-    /// The proxy's settings
+    /// The proxy's settings file
     #[bpaf(argument("FILE"), env("JAYREACH_SETTINGS"))]
     pub(super) settings: PathBuf,
 }
 
-/// Check a targets file, or a settings file, and report all findings
+/// Check a targets file, a settings file or a configuration and report all findings
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach check targets.toml\nExample: jayreach check --settings jayreach.toml"))]
 pub(super) struct Check {
-    /// The file holds a daemon's settings
+    /// Check a daemon's settings file instead of a targets file
     pub(super) settings: bool,
-    /// The file holds a proxy's settings
+    /// Check a proxy's settings file instead of a targets file
     pub(super) proxy: bool,
-    /// The file holds the configuration that the operator writes to the users' platform
+    /// Check a configuration as the operator writes it to the users' platform, instead of a targets file
     pub(super) config: bool,
     /// The file to check
     #[bpaf(positional("FILE"))]
@@ -84,23 +84,23 @@
 pub(super) struct Apply {
     #[bpaf(external)]
     pub(super) store: SocketAddr,
-    /// The version the change is made from; another one in force is a conflict
+    /// The version that the change is based on; if another version is active, the change fails as a conflict
     #[bpaf(argument("VERSION"))]
     pub(super) based_on: Option<Version>,
-    /// Who makes the change
+    /// Who makes the change, for the audit trail
     #[bpaf(argument("NAME"), env("USER"), fallback("unknown".into()))]
     pub(super) who: String,
-    /// Why the change is made
+    /// Why the change is made, for the audit trail
     #[bpaf(argument("TEXT"))]
     pub(super) why: String,
-    /// Wait until the change is in force in every daemon that this daemon knows
+    /// Wait until the change is active at the daemon given by --daemon and at every daemon that it lists as alive
     pub(super) wait: bool,
-    /// The local address of a daemon to ask, with --wait
+    /// The local address of the daemon that --wait asks
     #[bpaf(argument("ADDRESS"))]
     pub(super) daemon: Option<SocketAddr>,
-    /// How many seconds to try, and to wait
-    #[bpaf(argument("SECONDS"), fallback(30))]
-    pub(super) patience: u64,
+    /// How many seconds to retry the change, and then to wait with --wait
+    #[bpaf(long("patience"), argument("SECONDS"), fallback(30))]
+    pub(super) timeout_s: u64,
     /// Print JSON
     pub(super) json: bool,
     /// The targets file
@@ -108,7 +108,7 @@
     pub(super) file: PathBuf,
 }
 
-/// Compare a targets file with the configuration in force
+/// Compare a targets file with the active configuration
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach diff targets.toml --store 10.0.0.2:7000"))]
 pub(super) struct Diff {
@@ -121,7 +121,7 @@
     pub(super) file: PathBuf,
 }
 
-/// Print the configuration in force as a targets file
+/// Print the active configuration as a targets file
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach show --store 10.0.0.2:7000 > targets.toml"))]
 pub(super) struct Show {
@@ -129,7 +129,7 @@
     pub(super) store: SocketAddr,
 }
 
-/// Print what a daemon knows
+/// Print a daemon's status
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach status --daemon 10.0.0.7:7102 --json"))]
 pub(super) struct Status {
@@ -139,13 +139,13 @@
     pub(super) json: bool,
 }
 
-/// Print who changed the configuration, when, why and what
+/// Print the changes of the configuration: who made each one, when, why, and what it changed
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach audit --store 10.0.0.2:7000 --last 5"))]
 pub(super) struct Audit {
     #[bpaf(external)]
     pub(super) store: SocketAddr,
-    /// How many changes to print, the newest first
+    /// How many changes to print, newest first
     #[bpaf(argument("COUNT"), fallback(20))]
     pub(super) last: usize,
     /// Print JSON
@@ -160,11 +160,11 @@
     pub(super) daemon: SocketAddr,
 }
 
-/// Print what is known of a ticket
+/// Print the status of a ticket
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command, footer("Example: jayreach ticket --callers 10.0.0.7:7100 vm-7.1842.12"))]
 pub(super) struct Ticket {
-    /// The callers' address of any daemon
+    /// The address on which any daemon listens for callers
     #[bpaf(argument("ADDRESS"))]
     pub(super) callers: SocketAddr,
     /// The ticket
@@ -172,7 +172,7 @@
     pub(super) ticket: String,
 }
 
-/// Print what became of a request, an endpoint or a configuration, from proxies' event lines
+/// Explain how a request ended, or the state of an endpoint, a configuration or a fingerprint, from event lines
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(
     command,
@@ -181,19 +181,19 @@
     )
 )]
 pub(super) struct Explain {
-    /// The id of a caller's attempt
+    /// The id of a request
     #[bpaf(argument("ID"))]
     pub(super) request: Option<String>,
-    /// The incarnation of an endpoint
+    /// The incarnation id of an endpoint
     #[bpaf(argument("ID"))]
     pub(super) endpoint: Option<String>,
     /// A version of the configuration
     #[bpaf(argument("VERSION"))]
     pub(super) config: Option<u64>,
-    /// What requests ask for, as `failed` and `ended-under` lines tell it
+    /// The fingerprint of requests, from a `failed` or `ended-under` line
     #[bpaf(argument("FINGERPRINT"))]
     pub(super) fingerprint: Option<String>,
-    /// Files with event lines
+    /// The files with the event lines
     #[bpaf(positional("FILE"), some("name the files with the event lines"))]
     pub(super) files: Vec<PathBuf>,
 }
--- a/src/cmd/audit.rs
+++ b/src/cmd/audit.rs
@@ -1,4 +1,4 @@
-//! `jayreach audit`
+//! `jayreach audit`: prints the changes of the configuration.
 
 use crate::{
     cmd::{Run, args, print_json},
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `jayreach check`
+//! `jayreach check`: checks a file and reports its findings.
 
 use std::path::Path;
 
@@ -39,20 +39,21 @@
     }
 }
 
-/// Tells what proxies will make of a configuration of the users' platform.
+/// Checks a configuration of the users' platform with the parser that proxies use.
 fn check_config(file: &Path) -> Result<(), Error> {
-    let config = document::load(file, read_config)?;
+    let config = document::load(file, parse_without_findings)?;
     println!("{}: a good configuration: version {}, {} routes", file.display(), config.version, config.routes().len());
     Ok(())
 }
 
-fn read_config(file: &str, text: &str) -> Result<Config, Findings> {
+/// Parses a configuration; returns it only if it has no findings.
+fn parse_without_findings(file: &str, text: &str) -> Result<Config, Findings> {
     let mut findings = Findings::default();
     match parse_config(text) {
         Ok(parsed) if parsed.findings.is_empty() => return Ok(parsed.config),
         Ok(parsed) => {
             for it in &parsed.findings {
-                findings.push(place_of(file, text, it), it.to_string());
+                findings.push(find_place(file, text, it), it.to_string());
             }
         }
         Err(error) => {
@@ -63,8 +64,8 @@
     Err(findings.sorted())
 }
 
-/// Where the part that a finding names begins.
-fn place_of(file: &str, text: &str, finding: &ConfigFinding) -> Place {
+/// Position in the file of the part that the finding names; the start of the file if the text has no such part.
+fn find_place(file: &str, text: &str, finding: &ConfigFinding) -> Place {
     let part = finding.place.split('.').nth(1).unwrap_or(&finding.place);
     Place::at(file, text, text.find(&format!("\"{part}\"")).unwrap_or(0))
 }
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -1,4 +1,4 @@
-//! `jayreach daemon`
+//! `jayreach daemon`: runs a daemon.
 
 use crate::{
     cmd::{Run, args},
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,7 +1,7 @@
-//! `jayreach diff`
+//! `jayreach diff`: prints the differences between the active configuration and a targets file.
 
 use crate::{
-    cmd::{Run, args, in_force, print_json, read_targets},
+    cmd::{Run, active_config, args, print_json, read_targets},
     error::Error,
     store::StoreClient,
     targets::{Targets, differences},
@@ -10,7 +10,7 @@
 impl Run for args::Diff {
     fn run(self) -> Result<(), Error> {
         let new = read_targets(&self.file)?.targets;
-        let old = in_force(&StoreClient::new(self.store))?;
+        let old = active_config(&StoreClient::new(self.store))?;
         let old = old.map_or_else(Targets::default, |(_, _, targets)| targets);
         let list = differences(&old, &new);
         if self.json {
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,15 +1,15 @@
-//! `jayreach drain`
+//! `jayreach drain`: starts a daemon's graceful shutdown.
 
 use attohttpc::Method;
 
 use crate::{
-    cmd::{Run, args, ask_daemon},
+    cmd::{Run, args, call_daemon},
     error::Error,
 };
 
 impl Run for args::Drain {
     fn run(self) -> Result<(), Error> {
-        ask_daemon(&self.daemon.to_string(), Method::POST, "/drain")?;
+        call_daemon(&self.daemon.to_string(), Method::POST, "/drain")?;
         println!("draining");
         Ok(())
     }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `jayreach explain`
+//! `jayreach explain`: prints the event lines about a subject and their cause.
 
 use std::{
     fs::File,
@@ -16,7 +16,7 @@
     fn run(self) -> Result<(), Error> {
         let mut lines = Vec::new();
         for file in &self.files {
-            read(file, &mut lines)?;
+            read_lines(file, &mut lines)?;
         }
         let subjects = [
             self.endpoint.map(|it| Subject::Endpoint(it.into())),
@@ -25,11 +25,11 @@
             self.request.map(|it| Subject::Request(it.into())),
         ];
         let Some(subject) = subjects.into_iter().flatten().next() else {
-            return Err(Error::Usage("name a request, an endpoint, a configuration or a fingerprint".into()));
+            return Err(Error::Usage("one of --request, --endpoint, --config or --fingerprint is required".into()));
         };
         let history = explain(&lines, &subject);
         for it in &history.lines {
-            let fields = serde_json::to_string(&it.fields).expect("what was JSON is JSON");
+            let fields = serde_json::to_string(&it.fields).expect("parsed JSON can be encoded");
             println!("{:.3} {} {} {fields}", it.time, it.proxy, it.event);
         }
         println!("{}", history.cause);
@@ -37,7 +37,8 @@
     }
 }
 
-fn read(path: &Path, lines: &mut Vec<EventLine>) -> Result<(), Error> {
+/// Appends the event lines of a file to `lines`; other lines are skipped.
+fn read_lines(path: &Path, lines: &mut Vec<EventLine>) -> Result<(), Error> {
     let context = || path.display().to_string();
     let file = File::open(path).map_err(|it| Error::io(context(), it))?;
     for text in BufReader::new(file).lines() {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one file each, behind one trait; their arguments are declared in `args`.
+//! The commands. Each has its own file; `args` declares their arguments.
 
 mod apply;
 mod args;
@@ -23,17 +23,17 @@
     targets::{Root, Targets, TargetsFile, parse_targets},
 };
 
-/// How long a command waits for a daemon's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time for a daemon's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A command that can be run.
+/// A command with its arguments.
 trait Run {
-    /// Does what the command is for.
+    /// Runs the command.
     fn run(self) -> Result<(), Error>;
 }
 
-/// Parses the command line, runs the command, and tells the exit code: 0 done, 1 failed, 2 the
-/// input has findings, 3 another change came first, 4 a wait ended too early.
+/// Parses the command line, runs the command and returns the exit code: 0 for success, 1 for a failure, 2 for findings
+/// or a wrong command line, 3 if another change was accepted first, and 4 if a time limit passed.
 pub fn main() -> ExitCode {
     match args::command().run().run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -62,25 +62,30 @@
     }
 }
 
+/// Reads and parses a targets file.
 fn read_targets(path: &Path) -> Result<TargetsFile, Error> {
     let name = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|it| Error::io(name.clone(), it))?;
     parse_targets(&name, &text).map_err(Error::Findings)
 }
 
-/// The configuration in force, with its targets.
-fn in_force(store: &StoreClient) -> Result<Option<(ObjectVersion, Root, Targets)>, Error> {
+/// Reads the active configuration from the store. Returns `None` if the store has none.
+fn active_config(store: &StoreClient) -> Result<Option<(ObjectVersion, Root, Targets)>, Error> {
     let Some((object_version, root)) = store::current_root(store)? else { return Ok(None) };
     let targets = store::load_parts(store, &root)?;
     Ok(Some((object_version, root, targets)))
 }
 
-/// Calls a daemon's local address and returns its answer.
-fn ask_daemon(address: &str, method: attohttpc::Method, target: &str) -> Result<Vec<u8>, Error> {
+/// Sends a request to a daemon and returns the body of the response.
+///
+/// # Errors
+///
+/// The request fails, or the response's status is not a success.
+fn call_daemon(address: &str, method: attohttpc::Method, target: &str) -> Result<Vec<u8>, Error> {
     let failed = |message: String| Error::Daemon { address: address.into(), message: message.into() };
     let url = format!("http://{address}{target}");
     let req = attohttpc::RequestBuilder::try_new(method, url).map_err(|it| failed(it.to_string()))?;
-    let resp = req.timeout(ANSWER_TIMEOUT).send().map_err(|it| failed(it.to_string()))?;
+    let resp = req.timeout(RESPONSE_TIMEOUT).send().map_err(|it| failed(it.to_string()))?;
     let status = resp.status();
     let body = resp.bytes().map_err(|it| failed(it.to_string()))?;
     if !status.is_success() {
@@ -89,6 +94,7 @@
     Ok(body)
 }
 
+/// Prints `value` as JSON over several lines.
 fn print_json<T: Serialize>(value: &T) {
-    println!("{}", serde_json::to_string_pretty(value).expect("what commands print can be coded"));
+    println!("{}", serde_json::to_string_pretty(value).expect("all printed values can be encoded"));
 }
--- a/src/cmd/proxy.rs
+++ b/src/cmd/proxy.rs
@@ -1,4 +1,4 @@
-//! `jayreach proxy`
+//! `jayreach proxy`: runs a proxy on the users' platform.
 
 use crate::{
     cmd::{Run, args},
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -1,7 +1,7 @@
-//! `jayreach show`
+//! `jayreach show`: prints the active configuration as a targets file.
 
 use crate::{
-    cmd::{Run, args, in_force},
+    cmd::{Run, active_config, args},
     error::Error,
     store::StoreClient,
     targets::{Targets, write_targets},
@@ -9,7 +9,7 @@
 
 impl Run for args::Show {
     fn run(self) -> Result<(), Error> {
-        let text = match in_force(&StoreClient::new(self.store))? {
+        let text = match active_config(&StoreClient::new(self.store))? {
             Some((_, root, targets)) => write_targets(&targets, root.version),
             None => write_targets(&Targets::default(), 0),
         };
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,17 +1,17 @@
-//! `jayreach status`
+//! `jayreach status`: prints the status of a daemon.
 
 use attohttpc::Method;
 use serde_json::Value;
 
 use crate::{
-    cmd::{Run, args, ask_daemon, print_json},
+    cmd::{Run, args, call_daemon, print_json},
     error::Error,
 };
 
 impl Run for args::Status {
     fn run(self) -> Result<(), Error> {
         let address = self.daemon.to_string();
-        let bytes = ask_daemon(&address, Method::GET, "/status")?;
+        let bytes = call_daemon(&address, Method::GET, "/status")?;
         let status: Value = serde_json::from_slice(&bytes)
             .map_err(|it| Error::Daemon { address: address.into(), message: it.to_string().into() })?;
         if self.json {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Prints one field a line, lists as a row an item.
+/// Prints one field per line, and a list as its length followed by one line per item.
 fn print_fields(indent: &str, value: &Value) {
     let Value::Object(fields) = value else { return };
     for (name, value) in fields {
@@ -34,19 +34,19 @@
             }
             Value::Array(items) => {
                 println!("{indent}{name}: {}", items.len());
-                items.iter().for_each(|it| println!("{indent}  {}", row(it)));
+                items.iter().for_each(|it| println!("{indent}  {}", format_row(it)));
             }
-            it => println!("{indent}{name}: {}", plain(it)),
+            it => println!("{indent}{name}: {}", format_plain(it)),
         }
     }
 }
 
-fn row(value: &Value) -> String {
-    let Value::Object(fields) = value else { return plain(value) };
-    let cells: Vec<_> = fields.iter().map(|(name, value)| format!("{name}={}", plain(value))).collect();
+fn format_row(value: &Value) -> String {
+    let Value::Object(fields) = value else { return format_plain(value) };
+    let cells: Vec<_> = fields.iter().map(|(name, value)| format!("{name}={}", format_plain(value))).collect();
     cells.join("  ")
 }
 
-fn plain(value: &Value) -> String {
+fn format_plain(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
