--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and targets: all findings at once, each with its place.
+//! Settings and targets files: all findings are reported at once with their places, and valid targets are kept in full.
 
 use jayreach::{
     settings::Settings,
@@ -6,7 +6,7 @@
 };
 use rstest::rstest;
 
-fn good_targets() -> String {
+fn valid_targets() -> String {
     let class = "[class.charge]\nlateness = \"2s\"\nimportance = 90\nidempotent = false\n";
     let service = "[service.billing]\nfloor_percent = 60\nweighs = \"detection-time\"\n";
     let route = "[[route]]\nprefix = \"/billing\"\nservice = \"billing\"\nclass = \"charge\"\n";
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn all_findings_come_at_once_with_their_places() {
+fn all_findings_are_reported_at_once_with_their_places() {
     let text = "[class.charge]\nlateness = \"2 weeks\"\nimportance = 900\nidempotent = false\n\
                 [[route]]\nprefix = \"billing\"\nservice = \"none\"\nclass = \"charge\"\n";
 
@@ -40,7 +40,7 @@
     #[case] value: &str,
     #[case] reason: &str,
 ) {
-    let text = good_targets().replace("floor_percent", &format!("{key} = {value}\nfloor_percent"));
+    let text = valid_targets().replace("floor_percent", &format!("{key} = {value}\nfloor_percent"));
 
     let found = findings(&text);
 
@@ -49,19 +49,19 @@
 }
 
 #[test]
-fn syntax_errors_are_findings_too() {
+fn syntax_errors_are_findings() {
     let found = findings("[class.charge\nlateness = \n");
 
     assert!(found.iter().any(|it| it.0 == 1), "{found:?}");
 }
 
 #[test]
-fn targets_survive_being_written_and_cut_into_parts() {
-    let targets = parse_targets("t.toml", &good_targets()).expect("good targets").targets;
+fn written_and_split_targets_are_read_back_in_full() {
+    let targets = parse_targets("t.toml", &valid_targets()).expect("valid targets").targets;
 
-    let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("what we write, we read");
+    let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("written targets can be parsed");
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
-    let joined = join("parts", &parts).expect("parts we made");
+    let joined = join("parts", &parts).expect("the parts are valid");
 
     assert_eq!(read_back.based_on, Some(7));
     assert_eq!(read_back.targets, targets);
@@ -75,28 +75,28 @@
 #[case("/billing/chargesheet", Some("/billing"))]
 #[case("/billings", None)]
 #[case("/", None)]
-fn a_route_is_the_longest_prefix_of_whole_segments(#[case] path: &str, #[case] wanted: Option<&str>) {
+fn a_route_is_the_longest_prefix_of_whole_segments(#[case] path: &str, #[case] expected: Option<&str>) {
     let charges =
         "[[route]]\nprefix = \"/billing/charges\"\nservice = \"billing\"\nclass = \"charge\"\npublic = true\n";
-    let targets = parse_targets("t.toml", &(good_targets() + charges)).expect("good targets").targets;
+    let targets = parse_targets("t.toml", &(valid_targets() + charges)).expect("valid targets").targets;
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
 
-    let directory = Directory::build("parts", &parts).expect("parts we made");
+    let directory = Directory::build("parts", &parts).expect("the parts are valid");
 
     // Only the longer prefix is public.
     let found = directory.route(path).map(|it| if it.public { "/billing/charges" } else { "/billing" });
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
 #[test]
 fn a_difference_names_what_changed() {
-    let old = parse_targets("t.toml", &good_targets()).expect("good targets").targets;
-    let new = parse_targets("t.toml", &good_targets().replace("2s", "3s")).expect("good targets").targets;
+    let old = parse_targets("t.toml", &valid_targets()).expect("valid targets").targets;
+    let new = parse_targets("t.toml", &valid_targets().replace("2s", "3s")).expect("valid targets").targets;
 
-    let list = differences(&old, &new);
+    let changes = differences(&old, &new);
 
-    assert_eq!(list.len(), 1);
-    assert!(list[0].to_string().starts_with("~ class charge: "), "{}", list[0]);
+    assert_eq!(changes.len(), 1);
+    assert!(changes[0].to_string().starts_with("~ class charge: "), "{}", changes[0]);
 }
 
 #[test]
