--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -17,7 +17,7 @@
         ingress::RequestContext,
     },
     targets::{Class, ResolvedRoute},
-    wire::{Answer, Doubt, Header, Outcome, Refusal, Ticket, TicketStatus, Work},
+    wire::{CallerRequest, EndpointResponse, Header, Outcome, Refusal, Ticket, TicketStatus, UnknownReason},
 };
 
 /// The most tickets that one call may request.
@@ -97,7 +97,7 @@
     path: Box<str>,
     deadline: Instant,
     ticket: Option<Ticket>,
-    work: Work,
+    work: CallerRequest,
 }
 
 fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<PreparedRequest, Refusal> {
@@ -115,7 +115,7 @@
         BodyError::TooLarge => Refusal::TooLarge,
         BodyError::Unreadable => Refusal::BadRequest,
     })?;
-    let work = Work {
+    let work = CallerRequest {
         method: req.method().as_str().into(),
         target: req.target().into(),
         headers: forwarded_headers(req, found.public),
@@ -200,12 +200,12 @@
     match outcome {
         Outcome::Done(answer) => respond_done(req, answer),
         Outcome::NotRun(refusal) => refuse(req, refusal, None),
-        Outcome::Unknown(doubt @ Doubt::TicketExpired) => respond_unknown(req, 410, doubt),
+        Outcome::Unknown(doubt @ UnknownReason::TicketExpired) => respond_unknown(req, 410, doubt),
         Outcome::Unknown(doubt) => respond_unknown(req, 504, doubt),
     }
 }
 
-fn respond_done(req: Request, answer: Answer) {
+fn respond_done(req: Request, answer: EndpointResponse) {
     let forwarded = answer.headers.iter().filter(|it| !is_hop_header(&it.name));
     let mut headers: Vec<(&str, &str)> = forwarded.map(|it| (&*it.name, &*it.value)).collect();
     headers.retain(|it| !it.0.eq_ignore_ascii_case("jayreach-outcome"));
@@ -213,10 +213,10 @@
     respond(req, answer.status, &headers, answer.body);
 }
 
-fn respond_unknown(req: Request, status: u16, doubt: Doubt) {
+fn respond_unknown(req: Request, status: u16, doubt: UnknownReason) {
     let message = match doubt {
-        Doubt::TicketExpired => "the ticket's record is gone; it never runs again",
-        Doubt::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
+        UnknownReason::TicketExpired => "the ticket's record is gone; it never runs again",
+        UnknownReason::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
         _ => "the work may have run; ask again with the same ticket, or GET /.jayreach/tickets/TICKET",
     };
     let reply = OutcomeBody { outcome: "unknown", reason: doubt, message };
@@ -230,8 +230,8 @@
     let ticket = req.header("Jayreach-Ticket").and_then(|it| it.parse::<Ticket>().ok());
     match ticket {
         Some(ticket) if may_have_run(&ticket) => match status_and_message(refusal).0 {
-            503 => respond_unknown(req, 504, Doubt::TicketUsed),
-            status => respond_unknown(req, status, Doubt::TicketUsed),
+            503 => respond_unknown(req, 504, UnknownReason::TicketUsed),
+            status => respond_unknown(req, status, UnknownReason::TicketUsed),
         },
         _ => refuse(req, refusal, None),
     }
@@ -308,7 +308,7 @@
 fn respond_ticket_state(daemon: &Daemon, req: Request, ticket: &Ticket) {
     let ticket_status = daemon.ticket_status(ticket);
     let (state, status) = match &ticket_status {
-        Some(TicketStatus::Fresh) => ("fresh", None),
+        Some(TicketStatus::Unused) => ("fresh", None),
         Some(TicketStatus::Running) => ("running", None),
         Some(TicketStatus::Ended(Outcome::Done(it))) => ("done", Some(it.status)),
         Some(TicketStatus::Ended(Outcome::NotRun(_))) => ("not-run", None),
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -8,7 +8,7 @@
     daemon::http_client::{Client, ClientResponse, Connection},
     decide::Sample,
     ticket::ConnectionFailure,
-    wire::{Answer, Dispatch, Doubt, Header, Outcome, Refusal, Work},
+    wire::{CallerRequest, Dispatch, EndpointResponse, Header, Outcome, Refusal, UnknownReason},
 };
 
 /// How long the call that cancels a request at its endpoint may take.
@@ -31,7 +31,8 @@
     let Some(req) = request(dispatch, time_left) else {
         return CallResult::NotSent(Refusal::BadRequest);
     };
-    let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::New } else { Connection::Pooled };
+    let connection =
+        if dispatch.retry || dispatch.ticket_attempt.is_some() { Connection::New } else { Connection::Pooled };
     match client.call(req, connection, time_left) {
         Ok(resp) => CallResult::Response(resp),
         Err(silence) => CallResult::Failed(silence),
@@ -39,7 +40,7 @@
 }
 
 fn request(dispatch: &Dispatch, time_left: Duration) -> Option<Request<Vec<u8>>> {
-    let Work { method, target, headers, body } = &dispatch.work;
+    let CallerRequest { method, target, headers, body } = &dispatch.work;
     let mut req = Request::builder().method(&**method).uri(format!("http://{}{target}", dispatch.endpoint));
     for Header { name, value } in headers {
         req = req.header(&**name, &**value);
@@ -58,13 +59,15 @@
         CallResult::Response(resp) => {
             let sample = if resp.status >= 500 { Sample::Bad } else { Sample::Good };
             let ClientResponse { status, headers, body } = resp;
-            (Outcome::Done(Answer { status, headers, body }), Some(sample))
+            (Outcome::Done(EndpointResponse { status, headers, body }), Some(sample))
         }
         CallResult::Failed(ConnectionFailure::NoLocalPort) => (Outcome::NotRun(Refusal::Overloaded), None),
         CallResult::Failed(ConnectionFailure::Refused) => {
             (Outcome::NotRun(Refusal::EndpointUnreachable), Some(Sample::Bad))
         }
-        CallResult::Failed(ConnectionFailure::Lost) => (Outcome::Unknown(Doubt::EndpointSilent), Some(Sample::Bad)),
+        CallResult::Failed(ConnectionFailure::Lost) => {
+            (Outcome::Unknown(UnknownReason::EndpointSilent), Some(Sample::Bad))
+        }
     }
 }
 
--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -72,7 +72,7 @@
 impl Target {
     /// Records the load and the minimum importance that a guard reported with a reply.
     pub(crate) fn record_reply(&self, reply: &DispatchReply) {
-        let report = LoadReport { load: reply.load, min_importance: reply.admits, received_at: Instant::now() };
+        let report = LoadReport { load: reply.load, min_importance: reply.min_importance, received_at: Instant::now() };
         *lock(&self.load.report) = Some(report);
     }
 
--- a/src/daemon/guard.rs
+++ b/src/daemon/guard.rs
@@ -22,7 +22,7 @@
     targets::EjectionPreference,
     ticket::{DispatchDecision, DispatchLedger},
     util::lock,
-    wire::{Dispatch, DispatchReply, Doubt, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus},
+    wire::{Dispatch, DispatchReply, Outcome, Refusal, Revoke, RevokeReply, Ticket, TicketStatus, UnknownReason},
 };
 
 /// Time without an announcement after which an endpoint gets no new requests.
@@ -179,8 +179,8 @@
         let outcome = self.run_dispatch(client, dispatch, hooks);
         let inner = lock(&self.inner);
         let admission = inner.find(&dispatch.endpoint).map(|at| &inner.endpoints[at].admission);
-        let (load, admits) = admission.map_or((0, 0), |it| (it.load(), it.min_importance()));
-        DispatchReply { outcome, load, admits }
+        let (load, min_importance) = admission.map_or((0, 0), |it| (it.load(), it.min_importance()));
+        DispatchReply { outcome, load, min_importance }
     }
 
     /// Runs a dispatch. A ticketed one is looked up in the ledger first, so that it runs at most once.
@@ -188,17 +188,17 @@
         if dispatch.guard_incarnation != self.incarnation {
             return Outcome::NotRun(Refusal::StaleDispatch);
         }
-        let Some(leg) = &dispatch.leg else {
+        let Some(ticket_attempt) = &dispatch.ticket_attempt else {
             return self.run_on_endpoint(client, dispatch, hooks);
         };
-        match lock(&self.inner).ledger.start_dispatch(leg) {
+        match lock(&self.inner).ledger.start_dispatch(ticket_attempt) {
             DispatchDecision::Run => (),
-            DispatchDecision::AlreadyRunning => return Outcome::Unknown(Doubt::StillRunning),
+            DispatchDecision::AlreadyRunning => return Outcome::Unknown(UnknownReason::StillRunning),
             DispatchDecision::Ended(outcome) => return outcome,
             DispatchDecision::Stale => return Outcome::NotRun(Refusal::StaleDispatch),
         }
         let outcome = self.run_on_endpoint(client, dispatch, hooks);
-        lock(&self.inner).ledger.record_outcome(&leg.ticket, outcome.clone());
+        lock(&self.inner).ledger.record_outcome(&ticket_attempt.ticket, outcome.clone());
         self.run_ended.notify_all();
         outcome
     }
@@ -220,7 +220,7 @@
         };
         let now = Instant::now();
         let context = (hooks.ejection_context)(&dispatch.endpoint);
-        if outcome == Outcome::Unknown(Doubt::EndpointSilent) {
+        if outcome == Outcome::Unknown(UnknownReason::EndpointSilent) {
             // The slot is released only after the cancellation, so that the endpoint doesn't run more requests
             // than it has slots.
             endpoint::cancel(client, dispatch);
@@ -304,12 +304,12 @@
     /// Revokes an attempt, so that it can't run later. If it is running, waits up to `wait_ms` for its outcome.
     pub(crate) fn revoke(&self, revoke: &Revoke) -> RevokeReply {
         if revoke.guard_incarnation != self.incarnation {
-            return RevokeReply::NoMemory;
+            return RevokeReply::GuardRestarted;
         }
         let deadline = Instant::now() + Duration::from_millis(revoke.wait_ms);
         let mut inner = lock(&self.inner);
         loop {
-            let reply = inner.ledger.revoke(&revoke.leg);
+            let reply = inner.ledger.revoke(&revoke.ticket_attempt);
             let left = deadline.saturating_duration_since(Instant::now());
             if reply != RevokeReply::Running || left.is_zero() {
                 return reply;
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -26,8 +26,8 @@
         step_after_revoke,
     },
     wire::{
-        Dispatch, DispatchReply, Doubt, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket, TicketLeg,
-        TicketQuery, TicketStatus, Work,
+        CallerRequest, Dispatch, DispatchReply, Forward, Outcome, Refusal, Revoke, RevokeReply, Sequence, Ticket,
+        TicketAttempt, TicketQuery, TicketStatus, UnknownReason,
     },
 };
 
@@ -70,9 +70,9 @@
 /// One attempt at a request.
 struct Attempt<'a> {
     request: RequestContext<'a>,
-    work: &'a Work,
+    work: &'a CallerRequest,
     /// Present exactly if the class is not idempotent.
-    leg: Option<TicketLeg>,
+    ticket_attempt: Option<TicketAttempt>,
     connection: Connection,
     /// The time limit of this attempt.
     budget: Duration,
@@ -80,7 +80,7 @@
 
 impl Daemon {
     /// Runs an idempotent request, with retries as far as the retry budget and the deadline allow.
-    pub(crate) fn run_idempotent(&self, request: RequestContext<'_>, work: &Work) -> Outcome {
+    pub(crate) fn run_idempotent(&self, request: RequestContext<'_>, work: &CallerRequest) -> Outcome {
         self.budgets.deposit(request.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
@@ -96,7 +96,8 @@
             };
             let (connection, share) =
                 if tried.is_empty() { (Connection::Pooled, FIRST_ATTEMPT_SHARE) } else { (Connection::New, 1.0) };
-            let attempt = Attempt { request, work, leg: None, connection, budget: request.time_left().mul_f64(share) };
+            let attempt =
+                Attempt { request, work, ticket_attempt: None, connection, budget: request.time_left().mul_f64(share) };
             last = self.attempt_idempotent(&target, &attempt);
             if is_conclusive(&last) {
                 return last;
@@ -114,7 +115,7 @@
             Ok(reply) => reply.outcome,
             Err(ConnectionFailure::Refused) => Outcome::NotRun(Refusal::GuardUnreachable),
             Err(ConnectionFailure::NoLocalPort) => Outcome::NotRun(Refusal::Overloaded),
-            Err(ConnectionFailure::Lost) => Outcome::Unknown(Doubt::GuardSilent),
+            Err(ConnectionFailure::Lost) => Outcome::Unknown(UnknownReason::GuardSilent),
         }
     }
 
@@ -133,10 +134,10 @@
             importance: attempt.request.importance,
             budget_ms: attempt.budget.as_millis() as u64,
             retry: attempt.connection == Connection::New,
-            leg: attempt.leg.clone(),
+            ticket_attempt: attempt.ticket_attempt.clone(),
             work: attempt.work.clone(),
         };
-        let ticketed = dispatch.leg.is_some();
+        let ticketed = dispatch.ticket_attempt.is_some();
         let in_flight = target.start_request();
         let result = if self.is_own_guard(&target.guard) {
             Ok(self.execute(&dispatch))
@@ -159,7 +160,7 @@
     }
 
     /// Runs a request under a ticket: here if this daemon issued the ticket, otherwise at the ticket's home.
-    pub(crate) fn run_ticketed(&self, request: RequestContext<'_>, ticket: &Ticket, work: Work) -> Outcome {
+    pub(crate) fn run_ticketed(&self, request: RequestContext<'_>, ticket: &Ticket, work: CallerRequest) -> Outcome {
         let forward = Forward {
             ticket: ticket.clone(),
             budget_ms: request.time_left().as_millis() as u64,
@@ -177,7 +178,7 @@
         match self.peers.forward(address, &forward, request.time_left() + REPLY_MARGIN) {
             Ok(outcome) => outcome,
             Err(ConnectionFailure::Refused | ConnectionFailure::NoLocalPort) => self.query_ledgers(request, ticket),
-            Err(ConnectionFailure::Lost) => Outcome::Unknown(Doubt::HomeUnreachable),
+            Err(ConnectionFailure::Lost) => Outcome::Unknown(UnknownReason::HomeUnreachable),
         }
     }
 
@@ -195,9 +196,9 @@
                 Outcome::clone(&self.tickets.settle(forward.ticket.sequence, outcome))
             }
             BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
-            BeginDecision::AlreadyRunning => Outcome::Unknown(Doubt::StillRunning),
+            BeginDecision::AlreadyRunning => Outcome::Unknown(UnknownReason::StillRunning),
             BeginDecision::Mismatch => Outcome::NotRun(Refusal::TicketMismatch),
-            BeginDecision::Expired => Outcome::Unknown(Doubt::TicketExpired),
+            BeginDecision::Expired => Outcome::Unknown(UnknownReason::TicketExpired),
             BeginDecision::NeverIssued => Outcome::NotRun(Refusal::BadRequest),
             BeginDecision::IssuedElsewhere => self.query_ledgers(request, &forward.ticket),
         }
@@ -205,7 +206,7 @@
 
     /// Makes attempts under a running ticket. Another guard is tried only after the last attempt certainly did not run
     /// and can't run later.
-    fn run_attempts(&self, request: RequestContext<'_>, ticket: &Ticket, work: &Work) -> Outcome {
+    fn run_attempts(&self, request: RequestContext<'_>, ticket: &Ticket, work: &CallerRequest) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
         self.budgets.deposit(request.class);
@@ -221,7 +222,7 @@
             match self.run_attempt(request, ticket, work, &target) {
                 NextStep::Finish(outcome) => return outcome,
                 NextStep::TryAnotherGuard(refusal) => last = refusal,
-                NextStep::QueryAttempt => return Outcome::Unknown(Doubt::GuardSilent),
+                NextStep::QueryAttempt => return Outcome::Unknown(UnknownReason::GuardSilent),
             }
             tried.push(target);
         }
@@ -229,21 +230,33 @@
     }
 
     /// Makes one attempt. While its result is unknown, revokes it again and again until the deadline.
-    fn run_attempt(&self, request: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> NextStep {
+    fn run_attempt(
+        &self,
+        request: RequestContext<'_>,
+        ticket: &Ticket,
+        work: &CallerRequest,
+        target: &Arc<Target>,
+    ) -> NextStep {
         let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
-        let Some(leg) = self.tickets.dispatch(ticket, guard) else {
+        let Some(ticket_attempt) = self.tickets.dispatch(ticket, guard) else {
             return NextStep::Finish(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = request.time_left();
         let timeout = FIRST_REPLY_TIMEOUT.min(budget + REPLY_MARGIN);
-        let attempt = Attempt { request, work, leg: Some(leg.clone()), connection: Connection::Pooled, budget };
+        let attempt = Attempt {
+            request,
+            work,
+            ticket_attempt: Some(ticket_attempt.clone()),
+            connection: Connection::Pooled,
+            budget,
+        };
         let sent = self.send(target, &attempt, timeout);
         let mut verdict = match sent {
             Ok(reply) => step_after_reply(reply.outcome),
             Err(silence) => step_after_connection_failure(silence),
         };
         while verdict == NextStep::QueryAttempt && !request.time_left().is_zero() {
-            verdict = match self.revoke(&target.guard, leg.clone(), request.time_left().min(REVOKE_WAIT)) {
+            verdict = match self.revoke(&target.guard, ticket_attempt.clone(), request.time_left().min(REVOKE_WAIT)) {
                 Ok(reply) => {
                     target.guard.record_success();
                     step_after_revoke(reply)
@@ -259,9 +272,14 @@
     }
 
     /// Revokes an attempt at a guard, which may wait for up to `wait` while the attempt is running.
-    fn revoke(&self, guard: &Guard, leg: TicketLeg, wait: Duration) -> Result<RevokeReply, ConnectionFailure> {
+    fn revoke(
+        &self,
+        guard: &Guard,
+        ticket_attempt: TicketAttempt,
+        wait: Duration,
+    ) -> Result<RevokeReply, ConnectionFailure> {
         metrics::counter!("jayreach_revokes_total").increment(1);
-        let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: wait.as_millis() as u64 };
+        let revoke = Revoke { guard_incarnation: guard.incarnation, ticket_attempt, wait_ms: wait.as_millis() as u64 };
         if self.is_own_guard(guard) {
             return Ok(self.guard.revoke(&revoke));
         }
@@ -275,8 +293,8 @@
         for (sequence, attempt, guard) in unresolved {
             let Some(address) = peer_address(self, &guard.daemon) else { continue };
             let ticket = self.own_ticket(sequence);
-            let leg = TicketLeg { ticket, attempt, low_water };
-            let revoke = Revoke { guard_incarnation: guard.incarnation, leg, wait_ms: 0 };
+            let ticket_attempt = TicketAttempt { ticket, attempt, low_water };
+            let revoke = Revoke { guard_incarnation: guard.incarnation, ticket_attempt, wait_ms: 0 };
             let reply = if guard.daemon == self.settings.name {
                 Ok(self.guard.revoke(&revoke))
             } else {
@@ -299,11 +317,11 @@
             }
             match self.query_ledger(&guard, ticket) {
                 Some(TicketStatus::Ended(outcome)) => return outcome,
-                Some(TicketStatus::Running) => return Outcome::Unknown(Doubt::StillRunning),
-                Some(TicketStatus::Fresh | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
+                Some(TicketStatus::Running) => return Outcome::Unknown(UnknownReason::StillRunning),
+                Some(TicketStatus::Unused | TicketStatus::Expired | TicketStatus::NoRecord) | None => (),
             }
         }
-        Outcome::Unknown(Doubt::HomeUnreachable)
+        Outcome::Unknown(UnknownReason::HomeUnreachable)
     }
 
     fn query_ledger(&self, guard: &Guard, ticket: &Ticket) -> Option<TicketStatus> {
@@ -367,7 +385,7 @@
 }
 
 fn may_have_run(status: Option<&TicketStatus>) -> bool {
-    !matches!(status, Some(TicketStatus::Fresh | TicketStatus::Ended(Outcome::NotRun(_))))
+    !matches!(status, Some(TicketStatus::Unused | TicketStatus::Ended(Outcome::NotRun(_))))
 }
 
 /// Updates the outcome to report if no later attempt succeeds. A response takes precedence over an unknown outcome, and
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -10,7 +10,7 @@
     rows::{DaemonId, Incarnation},
     ticket::{BeginDecision, GuardIncarnation, TicketCounts, TicketHome},
     util::lock,
-    wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketLeg, TicketStatus},
+    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketAttempt, TicketStatus, UnknownReason},
 };
 
 /// The records of the tickets that this daemon issued.
@@ -42,7 +42,7 @@
                 return begin;
             }
             if left.is_zero() {
-                return BeginDecision::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
+                return BeginDecision::Ended(Arc::new(Outcome::Unknown(UnknownReason::StillRunning)));
             }
             let waited = self.run_ended.wait_timeout(home, left);
             home = waited.unwrap_or_else(PoisonError::into_inner).0;
@@ -50,10 +50,10 @@
     }
 
     /// Records the next attempt under a running ticket and returns its number; `None` if its record has expired.
-    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
+    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketAttempt> {
         let mut home = lock(&self.home);
         let attempt = home.record_dispatch(ticket.sequence, guard)?;
-        Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
+        Some(TicketAttempt { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
     /// Records the outcome of a run, also of one whose outcome was unknown; returns the recorded outcome.
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -16,7 +16,7 @@
     },
     rows::EndpointRow,
     util::lock,
-    wire::InForce,
+    wire::ActiveVersion,
 };
 
 /// The body of a 400 response.
@@ -139,7 +139,7 @@
     rollout.add(&daemon.settings.name, Some(daemon.config.version()), version);
     for row in peers {
         let reply = daemon.peers.call(row.peer_address, PeerCall::InForce, &(), Connection::New, CONTROL_TIMEOUT);
-        let active_version = reply.ok().map(|it: InForce| it.version);
+        let active_version = reply.ok().map(|it: ActiveVersion| it.version);
         rollout.add(&row.name, active_version, version);
     }
     respond_json(req, 200, &rollout);
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -18,7 +18,7 @@
     targets::{Importance, PartRef},
     ticket::ConnectionFailure,
     wire::{
-        Dispatch, DispatchReply, Forward, InForce, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
+        ActiveVersion, Dispatch, DispatchReply, Forward, Outcome, PEER_KEY_HEADER, Revoke, RevokeReply, TicketQuery,
         TicketStatus, decode, encode,
     },
 };
@@ -274,7 +274,7 @@
             let it: PartsRequest = decode(body).ok()?;
             Some(encode(&collect_parts(&*daemon.config.get()?, &it)))
         }
-        PeerCall::InForce => Some(encode(&InForce { version: daemon.config.version() })),
+        PeerCall::InForce => Some(encode(&ActiveVersion { version: daemon.config.version() })),
     }
 }
 
--- a/src/targets/parse.rs
+++ b/src/targets/parse.rs
@@ -26,8 +26,8 @@
     let table = doc.parse();
     let mut section = Section::new(&doc, "the targets", 0, table.get_ref());
     let targets_file = read_targets_file(&mut section);
-    section.close(forbidden_key_reason);
-    let findings = doc.close();
+    section.reject_unknown_keys(forbidden_key_reason);
+    let findings = doc.into_findings();
     if findings.is_empty() { Ok(targets_file) } else { Err(findings) }
 }
 
@@ -58,17 +58,17 @@
     for (name, mut section) in section.named_tables("class") {
         let lateness = section.duration("lateness");
         if section.offset("lateness") == section.start() {
-            section.find("lateness", format!("class.{name} lacks `lateness`"));
+            section.add_finding("lateness", format!("class.{name} lacks `lateness`"));
         }
         if lateness.is_some_and(|it| it > MAX_LATENESS) {
-            section.find("lateness", format!("`lateness` must be at most {}", format_duration(MAX_LATENESS)));
+            section.add_finding("lateness", format!("`lateness` must be at most {}", format_duration(MAX_LATENESS)));
         }
         let importance = section.required_number("importance", 1..101);
         let idempotent = section.flag("idempotent");
         if idempotent.is_none() && section.offset("idempotent") == section.start() {
-            section.find("idempotent", format!("class.{name} lacks `idempotent`"));
+            section.add_finding("idempotent", format!("class.{name} lacks `idempotent`"));
         }
-        section.close(forbidden_key_reason);
+        section.reject_unknown_keys(forbidden_key_reason);
         if let (Some(lateness), Some(importance), Some(idempotent)) = (lateness, importance, idempotent) {
             classes.push(Class { name, lateness, importance: importance as u8, idempotent });
         }
@@ -85,12 +85,12 @@
             Some("detection-time") => Some(EjectionPreference::DetectionTime),
             Some("false-ejections") => Some(EjectionPreference::FalseEjections),
             Some(_) => {
-                section.find("weighs", "`weighs` must be detection-time or false-ejections");
+                section.add_finding("weighs", "`weighs` must be detection-time or false-ejections");
                 None
             }
             None => None,
         };
-        section.close(forbidden_key_reason);
+        section.reject_unknown_keys(forbidden_key_reason);
         if let (Some(floor_percent), Some(weighs)) = (floor_percent, weighs) {
             services.push(Service { name, floor_percent: floor_percent as u8, weighs });
         }
@@ -110,16 +110,16 @@
         if let Some(prefix) = &prefix {
             check_prefix(&section, prefix);
             if !seen.insert(prefix.clone()) {
-                section.find("prefix", format!("the prefix {prefix} occurs twice"));
+                section.add_finding("prefix", format!("the prefix {prefix} occurs twice"));
             }
         }
         if let Some(it) = service.as_deref().filter(|it| targets.service(it).is_none()) {
-            section.find("service", format!("the service {it} is not defined"));
+            section.add_finding("service", format!("the service {it} is not defined"));
         }
         if let Some(it) = class.as_deref().filter(|it| targets.class(it).is_none()) {
-            section.find("class", format!("the class {it} is not defined"));
+            section.add_finding("class", format!("the class {it} is not defined"));
         }
-        section.close(forbidden_key_reason);
+        section.reject_unknown_keys(forbidden_key_reason);
         if let (Some(prefix), Some(service), Some(class)) = (prefix, service, class) {
             routes.push(Route { prefix, service, class, public });
         }
@@ -130,13 +130,13 @@
 
 fn check_prefix(section: &Section<'_>, prefix: &str) {
     if !prefix.starts_with('/') {
-        section.find("prefix", "`prefix` must begin with /");
+        section.add_finding("prefix", "`prefix` must begin with /");
     }
     if prefix.len() > 1 && prefix.ends_with('/') {
-        section.find("prefix", "`prefix` must not end with /");
+        section.add_finding("prefix", "`prefix` must not end with /");
     }
     if prefix == "/.jayreach" || prefix.starts_with("/.jayreach/") {
-        section.find("prefix", "paths under /.jayreach are reserved");
+        section.add_finding("prefix", "paths under /.jayreach are reserved");
     }
 }
 
@@ -148,17 +148,17 @@
         let name = section.required_text("name");
         let hash = section.required_text("token_sha256");
         if let Some(name) = name.as_ref().filter(|it| !names.insert((*it).clone())) {
-            section.find("name", format!("the account {name} occurs twice"));
+            section.add_finding("name", format!("the account {name} occurs twice"));
         }
         let token_hash = hash.and_then(|it| parse_hash(&it));
         match token_hash {
-            Some(it) if !hashes.insert(it) => section.find("token_sha256", "another account has the same token"),
+            Some(it) if !hashes.insert(it) => section.add_finding("token_sha256", "another account has the same token"),
             None if section.offset("token_sha256") != section.start() => {
-                section.find("token_sha256", "`token_sha256` must have 64 hexadecimal digits");
+                section.add_finding("token_sha256", "`token_sha256` must have 64 hexadecimal digits");
             }
             _ => (),
         }
-        section.close(forbidden_key_reason);
+        section.reject_unknown_keys(forbidden_key_reason);
         if let (Some(name), Some(token_hash)) = (name, token_hash) {
             accounts.push(Account { name, token_hash });
         }
--- a/src/ticket/dispatch_ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     rows::{DaemonId, Incarnation},
-    wire::{Outcome, RevokeReply, Sequence, Ticket, TicketLeg, TicketStatus},
+    wire::{Outcome, RevokeReply, Sequence, Ticket, TicketAttempt, TicketStatus},
 };
 
 /// The state of the last dispatch under a ticket.
@@ -58,15 +58,18 @@
 
 impl DispatchLedger {
     /// Records a dispatch as running, or returns why it must not run.
-    pub fn start_dispatch(&mut self, leg: &TicketLeg) -> DispatchDecision {
-        self.raise_low_water(&leg.ticket, leg.low_water);
-        if leg.ticket.sequence < self.low_water(&leg.ticket) {
+    pub fn start_dispatch(&mut self, ticket_attempt: &TicketAttempt) -> DispatchDecision {
+        self.raise_low_water(&ticket_attempt.ticket, ticket_attempt.low_water);
+        if ticket_attempt.ticket.sequence < self.low_water(&ticket_attempt.ticket) {
             return DispatchDecision::Stale;
         }
-        let at = match self.find(&leg.ticket) {
+        let at = match self.find(&ticket_attempt.ticket) {
             Err(at) => {
-                let record =
-                    DispatchRecord { ticket: leg.ticket.clone(), attempt: leg.attempt, state: DispatchState::Running };
+                let record = DispatchRecord {
+                    ticket: ticket_attempt.ticket.clone(),
+                    attempt: ticket_attempt.attempt,
+                    state: DispatchState::Running,
+                };
                 self.records.insert(at, record);
                 return DispatchDecision::Run;
             }
@@ -76,11 +79,13 @@
         match &record.state {
             DispatchState::Running => DispatchDecision::AlreadyRunning,
             DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => DispatchDecision::Ended(it.clone()),
-            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked if leg.attempt <= record.attempt => {
+            DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked
+                if ticket_attempt.attempt <= record.attempt =>
+            {
                 DispatchDecision::Stale
             }
             DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
-                record.attempt = leg.attempt;
+                record.attempt = ticket_attempt.attempt;
                 record.state = DispatchState::Running;
                 DispatchDecision::Run
             }
@@ -100,12 +105,15 @@
     }
 
     /// Prevents an attempt from running later, or returns that it is running or how it ended.
-    pub fn revoke(&mut self, leg: &TicketLeg) -> RevokeReply {
-        self.raise_low_water(&leg.ticket, leg.low_water);
-        let at = match self.find(&leg.ticket) {
+    pub fn revoke(&mut self, ticket_attempt: &TicketAttempt) -> RevokeReply {
+        self.raise_low_water(&ticket_attempt.ticket, ticket_attempt.low_water);
+        let at = match self.find(&ticket_attempt.ticket) {
             Err(at) => {
-                let record =
-                    DispatchRecord { ticket: leg.ticket.clone(), attempt: leg.attempt, state: DispatchState::Revoked };
+                let record = DispatchRecord {
+                    ticket: ticket_attempt.ticket.clone(),
+                    attempt: ticket_attempt.attempt,
+                    state: DispatchState::Revoked,
+                };
                 self.records.insert(at, record);
                 return RevokeReply::Revoked;
             }
@@ -116,7 +124,7 @@
             DispatchState::Running => RevokeReply::Running,
             DispatchState::Ended(it @ (Outcome::Done(_) | Outcome::Unknown(_))) => RevokeReply::Ended(it.clone()),
             DispatchState::Ended(Outcome::NotRun(_)) | DispatchState::Revoked => {
-                record.attempt = record.attempt.max(leg.attempt);
+                record.attempt = record.attempt.max(ticket_attempt.attempt);
                 record.state = DispatchState::Revoked;
                 RevokeReply::Revoked
             }
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -11,7 +11,7 @@
 use crate::{
     chart::Chart,
     rows::{DaemonId, Incarnation},
-    wire::{Doubt, Fingerprint, Outcome, Sequence, Ticket, TicketStatus},
+    wire::{Fingerprint, Outcome, Sequence, Ticket, TicketStatus, UnknownReason},
 };
 
 /// How long a ticket can be used and queried after it was issued.
@@ -204,7 +204,7 @@
             return TicketStatus::Expired;
         }
         match self.find(ticket.sequence) {
-            Err(_) => TicketStatus::Fresh,
+            Err(_) => TicketStatus::Unused,
             Ok(at) => match &self.records[at].outcome {
                 Some(it) => TicketStatus::Ended(Outcome::clone(it)),
                 None => TicketStatus::Running,
@@ -271,6 +271,9 @@
 
     /// Whether the outcome stays unknown: the guard cannot say more when asked again.
     fn is_finally_unknown(&self) -> bool {
-        matches!(self.outcome.as_deref(), Some(Outcome::Unknown(Doubt::GuardForgot | Doubt::EndpointSilent)))
+        matches!(
+            self.outcome.as_deref(),
+            Some(Outcome::Unknown(UnknownReason::GuardStateLost | UnknownReason::EndpointSilent))
+        )
     }
 }
--- a/src/ticket/next_step.rs
+++ b/src/ticket/next_step.rs
@@ -1,6 +1,6 @@
 //! Decides how a ticket home proceeds after a guard's reply or a connection failure.
 
-use crate::wire::{Doubt, Outcome, Refusal, RevokeReply};
+use crate::wire::{Outcome, Refusal, RevokeReply, UnknownReason};
 
 /// What the ticket home does next about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 pub fn step_after_reply(outcome: Outcome) -> NextStep {
     match outcome {
         Outcome::NotRun(refusal) => NextStep::TryAnotherGuard(refusal),
-        Outcome::Unknown(Doubt::StillRunning) => NextStep::QueryAttempt,
+        Outcome::Unknown(UnknownReason::StillRunning) => NextStep::QueryAttempt,
         Outcome::Done(_) | Outcome::Unknown(_) => NextStep::Finish(outcome),
     }
 }
@@ -48,6 +48,6 @@
         RevokeReply::Ended(outcome) => NextStep::Finish(outcome),
         RevokeReply::Running => NextStep::QueryAttempt,
         RevokeReply::Revoked => NextStep::TryAnotherGuard(Refusal::Revoked),
-        RevokeReply::NoMemory => NextStep::Finish(Outcome::Unknown(Doubt::GuardForgot)),
+        RevokeReply::GuardRestarted => NextStep::Finish(Outcome::Unknown(UnknownReason::GuardStateLost)),
     }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -17,7 +17,7 @@
         Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
     },
     ticket::{DispatchLedger, GuardIncarnation, TicketHome},
-    wire::{Answer, Outcome, TicketLeg, encode},
+    wire::{EndpointResponse, Outcome, TicketAttempt, encode},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
@@ -311,28 +311,32 @@
     let resident = || usage(std::process::id()).map_or(0, |it| it.resident) as f64;
     let answer = || {
         let header = |name: &str| jayreach::wire::Header { name: name.into(), value: "some value".into() };
-        Outcome::Done(Answer { status: 200, headers: ["a", "b", "c"].map(header).to_vec(), body: vec![7; 200] })
+        Outcome::Done(EndpointResponse {
+            status: 200,
+            headers: ["a", "b", "c"].map(header).to_vec(),
+            body: vec![7; 200],
+        })
     };
     let before = resident();
     let mut home = TicketHome::new("vm-1".into(), 1);
     let start = Instant::now();
-    let mut legs = Vec::new();
+    let mut attempts = Vec::new();
     for _ in 0..COUNT {
         let ticket = home.issue(start);
         home.begin_run(&ticket, ticket.sequence);
         let guard = GuardIncarnation { daemon: "vm-2".into(), incarnation: 1 };
         let attempt = home.record_dispatch(ticket.sequence, guard).expect("a record");
         home.record_outcome(ticket.sequence, answer());
-        legs.push(TicketLeg { ticket, attempt, low_water: 1 });
+        attempts.push(TicketAttempt { ticket, attempt, low_water: 1 });
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("home: {:.0} bytes and {each:.0} ns a record", (resident() - before) / COUNT as f64);
     let before = resident();
     let start = Instant::now();
     let mut ledger = DispatchLedger::default();
-    for leg in &legs {
-        ledger.start_dispatch(leg);
-        ledger.record_outcome(&leg.ticket, answer());
+    for ticket_attempt in &attempts {
+        ledger.start_dispatch(ticket_attempt);
+        ledger.record_outcome(&ticket_attempt.ticket, answer());
     }
     let each = start.elapsed().as_nanos() as f64 / COUNT as f64;
     println!("ledger: {:.0} bytes and {each:.0} ns a line", (resident() - before) / COUNT as f64);
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -12,7 +12,7 @@
         BeginDecision, ConnectionFailure, DispatchDecision, DispatchLedger, GuardIncarnation, NextStep,
         RECORD_RETENTION, TicketHome, step_after_connection_failure, step_after_reply, step_after_revoke,
     },
-    wire::{Answer, Doubt, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketLeg},
+    wire::{EndpointResponse, Outcome, Refusal, RevokeReply, Sequence, Ticket, TicketAttempt, UnknownReason},
 };
 use proptest::{
     prelude::*,
@@ -58,16 +58,16 @@
 /// the home reads one reply, from the connection on which it wrote the request.
 #[derive(Debug, Clone)]
 enum Message {
-    Dispatch { guard: usize, incarnation: u64, leg: TicketLeg, awaited: bool },
-    Revoke { guard: usize, incarnation: u64, leg: TicketLeg },
-    Reply { leg: TicketLeg, outcome: Outcome },
-    Revoked { leg: TicketLeg, reply: RevokeReply },
+    Dispatch { guard: usize, incarnation: u64, ticket_attempt: TicketAttempt, awaited: bool },
+    Revoke { guard: usize, incarnation: u64, ticket_attempt: TicketAttempt },
+    Reply { ticket_attempt: TicketAttempt, outcome: Outcome },
+    Revoked { ticket_attempt: TicketAttempt, reply: RevokeReply },
 }
 
 /// A run in progress at the home: the attempt whose reply it awaits.
 #[derive(Debug, Clone)]
 struct Run {
-    leg: TicketLeg,
+    ticket_attempt: TicketAttempt,
     guard: usize,
     /// The guard's incarnation when the attempt was sent.
     incarnation: u64,
@@ -76,7 +76,7 @@
 struct SimulatedGuard {
     incarnation: u64,
     ledger: DispatchLedger,
-    running: Vec<TicketLeg>,
+    running: Vec<TicketAttempt>,
 }
 
 struct Simulation {
@@ -112,7 +112,7 @@
 }
 
 fn done() -> Outcome {
-    Outcome::Done(Answer { status: 200, headers: Vec::new(), body: Vec::new() })
+    Outcome::Done(EndpointResponse { status: 200, headers: Vec::new(), body: Vec::new() })
 }
 
 impl Simulation {
@@ -151,7 +151,8 @@
             }
             Action::FailConnection(at) => self.fail_connection(at),
             Action::DeadlinePasses(at) => match self.runs[at].take() {
-                Some(run) => self.record_outcome(run.leg.ticket.sequence, Outcome::Unknown(Doubt::GuardSilent)),
+                Some(run) => self
+                    .record_outcome(run.ticket_attempt.ticket.sequence, Outcome::Unknown(UnknownReason::GuardSilent)),
                 None => Ok(()),
             },
             Action::Resolve => self.resolve(),
@@ -191,16 +192,16 @@
         let incarnation = self.guards[guard].incarnation;
         let guard_ref = GuardIncarnation { daemon: guard.to_string().into(), incarnation };
         let attempt = self.home.record_dispatch(ticket.sequence, guard_ref).expect("a running ticket has a record");
-        let leg = TicketLeg { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
-        self.runs[at] = Some(Run { leg: leg.clone(), guard, incarnation });
-        self.network.push(Message::Dispatch { guard, incarnation, leg, awaited: true });
+        let ticket_attempt = TicketAttempt { ticket: ticket.clone(), attempt, low_water: self.home.low_water() };
+        self.runs[at] = Some(Run { ticket_attempt: ticket_attempt.clone(), guard, incarnation });
+        self.network.push(Message::Dispatch { guard, incarnation, ticket_attempt, awaited: true });
     }
 
     fn take(&mut self, at: usize) -> Option<Message> {
         let message = (!self.network.is_empty()).then(|| self.network.swap_remove(at % self.network.len()))?;
-        let Message::Dispatch { leg: copy, awaited: false, .. } = &message else { return Some(message) };
+        let Message::Dispatch { ticket_attempt: copy, awaited: false, .. } = &message else { return Some(message) };
         let first = self.network.iter().position(|it| match it {
-            Message::Dispatch { leg, awaited, .. } => *awaited && leg == copy,
+            Message::Dispatch { ticket_attempt, awaited, .. } => *awaited && ticket_attempt == copy,
             _ => false,
         });
         let Some(first) = first else { return Some(message) };
@@ -211,61 +212,66 @@
     fn deliver(&mut self, at: usize) -> Result<(), String> {
         match self.take(at) {
             None => Ok(()),
-            Some(Message::Dispatch { guard, incarnation, leg, awaited }) => {
-                let reply = self.dispatch_at_guard(guard, incarnation, &leg);
-                self.network.extend(reply.filter(|_| awaited).map(|outcome| Message::Reply { leg, outcome }));
+            Some(Message::Dispatch { guard, incarnation, ticket_attempt, awaited }) => {
+                let reply = self.dispatch_at_guard(guard, incarnation, &ticket_attempt);
+                self.network
+                    .extend(reply.filter(|_| awaited).map(|outcome| Message::Reply { ticket_attempt, outcome }));
                 Ok(())
             }
-            Some(Message::Revoke { guard, incarnation, leg }) => {
-                let reply = self.revoke(guard, incarnation, &leg);
-                self.network.push(Message::Revoked { leg, reply });
+            Some(Message::Revoke { guard, incarnation, ticket_attempt }) => {
+                let reply = self.revoke(guard, incarnation, &ticket_attempt);
+                self.network.push(Message::Revoked { ticket_attempt, reply });
                 Ok(())
             }
-            Some(Message::Reply { leg, outcome }) => self.apply_step(&leg, step_after_reply(outcome)),
-            Some(Message::Revoked { leg, reply }) => self.apply_step(&leg, step_after_revoke(reply)),
+            Some(Message::Reply { ticket_attempt, outcome }) => {
+                self.apply_step(&ticket_attempt, step_after_reply(outcome))
+            }
+            Some(Message::Revoked { ticket_attempt, reply }) => {
+                self.apply_step(&ticket_attempt, step_after_revoke(reply))
+            }
         }
     }
 
     /// Returns the guard's reply, or `None` if a run starts; its reply is sent when the run ends.
-    fn dispatch_at_guard(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> Option<Outcome> {
+    fn dispatch_at_guard(&mut self, guard: usize, incarnation: u64, ticket_attempt: &TicketAttempt) -> Option<Outcome> {
         let it = &mut self.guards[guard];
         if it.incarnation != incarnation && self.disabled != Disabled::Incarnations {
             return Some(Outcome::NotRun(Refusal::StaleDispatch));
         }
-        match it.ledger.start_dispatch(leg) {
+        match it.ledger.start_dispatch(ticket_attempt) {
             DispatchDecision::Run => {
-                it.running.push(leg.clone());
+                it.running.push(ticket_attempt.clone());
                 None
             }
-            DispatchDecision::AlreadyRunning => Some(Outcome::Unknown(Doubt::StillRunning)),
+            DispatchDecision::AlreadyRunning => Some(Outcome::Unknown(UnknownReason::StillRunning)),
             DispatchDecision::Ended(outcome) => Some(outcome),
             DispatchDecision::Stale => Some(Outcome::NotRun(Refusal::StaleDispatch)),
         }
     }
 
-    fn revoke(&mut self, guard: usize, incarnation: u64, leg: &TicketLeg) -> RevokeReply {
+    fn revoke(&mut self, guard: usize, incarnation: u64, ticket_attempt: &TicketAttempt) -> RevokeReply {
         let it = &mut self.guards[guard];
         if it.incarnation != incarnation && self.disabled != Disabled::RecordLossReport {
-            return RevokeReply::NoMemory;
+            return RevokeReply::GuardRestarted;
         }
         if self.disabled == Disabled::Tombstones {
-            return it.ledger.clone().revoke(leg);
+            return it.ledger.clone().revoke(ticket_attempt);
         }
-        it.ledger.revoke(leg)
+        it.ledger.revoke(ticket_attempt)
     }
 
     fn finish(&mut self, guard: usize, ending: Ending) -> Result<(), String> {
-        let Some(leg) = self.guards[guard].running.pop() else { return Ok(()) };
+        let Some(ticket_attempt) = self.guards[guard].running.pop() else { return Ok(()) };
         let outcome = match ending {
             Ending::Answered => done(),
-            Ending::Silent => Outcome::Unknown(Doubt::EndpointSilent),
+            Ending::Silent => Outcome::Unknown(UnknownReason::EndpointSilent),
             Ending::Refused => Outcome::NotRun(Refusal::EndpointUnreachable),
         };
         if !matches!(outcome, Outcome::NotRun(_)) {
-            self.count_run(&leg.ticket)?;
+            self.count_run(&ticket_attempt.ticket)?;
         }
-        self.guards[guard].ledger.record_outcome(&leg.ticket, outcome.clone());
-        self.network.push(Message::Reply { leg, outcome });
+        self.guards[guard].ledger.record_outcome(&ticket_attempt.ticket, outcome.clone());
+        self.network.push(Message::Reply { ticket_attempt, outcome });
         Ok(())
     }
 
@@ -285,17 +291,19 @@
     }
 
     /// Applies the home's next step; a reply to an older attempt is ignored.
-    fn apply_step(&mut self, leg: &TicketLeg, step: NextStep) -> Result<(), String> {
-        let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.leg == *leg);
+    fn apply_step(&mut self, ticket_attempt: &TicketAttempt, step: NextStep) -> Result<(), String> {
+        let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.ticket_attempt == *ticket_attempt);
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
         let run = self.runs[at].take().expect("the position has a run");
         match step {
-            NextStep::Finish(outcome) => self.record_outcome(leg.ticket.sequence, outcome),
-            NextStep::TryAnotherGuard(_) if leg.attempt < 3 => {
-                self.attempt(at, &leg.ticket, (run.guard + 1) % GUARDS);
+            NextStep::Finish(outcome) => self.record_outcome(ticket_attempt.ticket.sequence, outcome),
+            NextStep::TryAnotherGuard(_) if ticket_attempt.attempt < 3 => {
+                self.attempt(at, &ticket_attempt.ticket, (run.guard + 1) % GUARDS);
                 Ok(())
             }
-            NextStep::TryAnotherGuard(refusal) => self.record_outcome(leg.ticket.sequence, Outcome::NotRun(refusal)),
+            NextStep::TryAnotherGuard(refusal) => {
+                self.record_outcome(ticket_attempt.ticket.sequence, Outcome::NotRun(refusal))
+            }
             NextStep::QueryAttempt => {
                 self.send_revoke(&run);
                 self.runs[at] = Some(run);
@@ -305,24 +313,24 @@
     }
 
     fn send_revoke(&mut self, run: &Run) {
-        let Run { leg, guard, incarnation } = run.clone();
-        self.network.push(Message::Revoke { guard, incarnation, leg });
+        let Run { ticket_attempt, guard, incarnation } = run.clone();
+        self.network.push(Message::Revoke { guard, incarnation, ticket_attempt });
     }
 
     fn fail_connection(&mut self, at: usize) -> Result<(), String> {
         let Some(run) = self.runs[at].clone() else { return Ok(()) };
         if self.disabled == Disabled::QueryBeforeAnotherGuard {
-            return self.apply_step(&run.leg, NextStep::TryAnotherGuard(Refusal::GuardUnreachable));
+            return self.apply_step(&run.ticket_attempt, NextStep::TryAnotherGuard(Refusal::GuardUnreachable));
         }
-        self.apply_step(&run.leg, step_after_connection_failure(ConnectionFailure::Lost))
+        self.apply_step(&run.ticket_attempt, step_after_connection_failure(ConnectionFailure::Lost))
     }
 
     fn resolve(&mut self) -> Result<(), String> {
         for (sequence, attempt, guard) in self.home.unresolved() {
             let ticket = Ticket { home: "home".into(), incarnation: self.home_incarnation, sequence };
-            let leg = TicketLeg { ticket, attempt, low_water: self.home.low_water() };
+            let ticket_attempt = TicketAttempt { ticket, attempt, low_water: self.home.low_water() };
             let at: usize = guard.daemon.parse().expect("guards are numbered");
-            match step_after_revoke(self.revoke(at, guard.incarnation, &leg)) {
+            match step_after_revoke(self.revoke(at, guard.incarnation, &ticket_attempt)) {
                 NextStep::Finish(outcome) => self.record_outcome(sequence, outcome)?,
                 NextStep::TryAnotherGuard(refusal) => self.record_outcome(sequence, Outcome::NotRun(refusal))?,
                 NextStep::QueryAttempt => (),
@@ -350,8 +358,8 @@
 impl Message {
     fn unawaited(self) -> Self {
         match self {
-            Self::Dispatch { guard, incarnation, leg, .. } => {
-                Self::Dispatch { guard, incarnation, leg, awaited: false }
+            Self::Dispatch { guard, incarnation, ticket_attempt, .. } => {
+                Self::Dispatch { guard, incarnation, ticket_attempt, awaited: false }
             }
             it => it,
         }
@@ -420,12 +428,12 @@
 #[test]
 fn a_late_dispatch_is_refused_after_its_tombstone_was_removed() {
     let ticket = |sequence| Ticket { home: "home".into(), incarnation: 1, sequence };
-    let leg = |sequence, low_water| TicketLeg { ticket: ticket(sequence), attempt: 1, low_water };
+    let ticket_attempt = |sequence, low_water| TicketAttempt { ticket: ticket(sequence), attempt: 1, low_water };
     let mut ledger = DispatchLedger::default();
-    assert_eq!(ledger.revoke(&leg(5, 1)), RevokeReply::Revoked);
+    assert_eq!(ledger.revoke(&ticket_attempt(5, 1)), RevokeReply::Revoked);
 
-    let opened = ledger.start_dispatch(&leg(9, 8));
-    let late = ledger.start_dispatch(&leg(5, 1));
+    let opened = ledger.start_dispatch(&ticket_attempt(9, 8));
+    let late = ledger.start_dispatch(&ticket_attempt(5, 1));
 
     assert_eq!(opened, DispatchDecision::Run);
     assert_eq!(late, DispatchDecision::Stale);
