--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The users' platform's form through real proxies: what callers and endpoints see.
+//! End-to-end tests of proxies as separate processes, between stand-ins for callers, endpoints and the store.
 
 use std::{
     io::{BufReader, Read as _, Write as _},
@@ -18,24 +18,28 @@
     store::StoreMode,
 };
 
-/// After this a fleet that has started asks the store for nothing but watches.
-const SETTLED: Duration = Duration::from_secs(6);
+/// Time from its start until a fleet's only calls to the store are watches.
+const STARTUP_TIME: Duration = Duration::from_secs(6);
 
 #[test]
-fn a_request_reaches_its_service_and_comes_back_whole() {
+fn a_request_reaches_its_endpoint_and_its_response_is_returned() {
     let site = site();
     let post = Call { body: b"a charge", ..call("POST /write/a?b=c", "r-1") };
 
-    let answer = post.answer(site.proxies[2].callers).expect("an answer");
+    let response = post.answer(site.proxies[2].callers).expect("a response");
 
-    assert_eq!(answer.status(), 200, "{answer:?}");
-    assert_eq!(answer.body, b"desk r-1");
-    assert_eq!(answer.header("x-response-seal"), Some("seal-r-1"));
-    let [arrival] = &arrivals(&site, "r-1")[..] else { panic!("one arrival") };
+    assert_eq!(response.status(), 200, "{response:?}");
+    assert_eq!(response.body, b"desk r-1");
+    assert_eq!(response.header("x-response-seal"), Some("seal-r-1"));
+    let [arrival] = &arrivals(&site, "r-1")[..] else { panic!("the request did not arrive exactly once") };
     assert_eq!(arrival.line, "POST /write/a?b=c");
     assert_eq!(arrival.body, b"a charge");
-    assert_eq!(arrival.caller, "ledger", "the service beside the ingress, whatever the caller wrote");
-    assert!((1..=2_000).contains(&arrival.deadline_ms), "the route's timeout bounds {}", arrival.deadline_ms);
+    assert_eq!(arrival.caller, "ledger", "the ingress overwrites the caller's header with its own service");
+    assert!(
+        (1..=2_000).contains(&arrival.deadline_ms),
+        "a deadline of {} ms is outside the route's timeout",
+        arrival.deadline_ms
+    );
 }
 
 #[rstest]
@@ -43,7 +47,7 @@
 #[case("GET /read", HOST, "r", 404)]
 #[case("GET /read/x", "other.example", "r", 404)]
 #[case("GET /read/x", HOST, "", 400)]
-fn what_is_not_allowed_is_refused_and_runs_nowhere(
+fn requests_without_a_known_route_or_an_id_are_refused(
     #[case] line: &str,
     #[case] host: &str,
     #[case] request: &str,
@@ -51,45 +55,47 @@
 ) {
     let site = site();
 
-    let answer = Call { host, ..call(line, request) }.answer(site.proxies[2].callers).expect("an answer");
+    let response = Call { host, ..call(line, request) }.answer(site.proxies[2].callers).expect("a response");
 
-    assert_eq!(answer.status(), status);
+    assert_eq!(response.status(), status);
     assert!(desks(&site).iter().all(|it| it.arrivals().is_empty()));
 }
 
 #[test]
-fn too_long_a_body_or_head_is_refused_and_others_go_on() {
+fn oversized_bodies_and_headers_are_refused_and_other_requests_served() {
     let site = site();
-    let body = vec![b'x'; 70_000];
-    let long = format!("GET /read/{} HTTP/1.1", "y".repeat(40_000));
+    let long_body = vec![b'x'; 70_000];
+    let long_line = format!("GET /read/{} HTTP/1.1", "y".repeat(40_000));
 
-    let body = Call { body: &body, ..call("POST /write/x", "r-long") }.answer(site.proxies[2].callers);
-    let head = call(&long, "r-head").answer(site.proxies[2].callers);
-    let other = ask(&site, "GET /read/x", "r-other");
+    let body_response = Call { body: &long_body, ..call("POST /write/x", "r-long") }.answer(site.proxies[2].callers);
+    let header_response = call(&long_line, "r-head").answer(site.proxies[2].callers);
+    let other_response = ask(&site, "GET /read/x", "r-other");
 
-    assert_eq!(body.expect("an answer").status(), 413);
-    assert!(head.is_err() || matches!(head.expect("just looked").status(), 400 | 414 | 431));
-    assert_eq!(other.status(), 200);
+    assert_eq!(body_response.expect("a response").status(), 413);
+    assert!(header_response.is_err() || matches!(header_response.expect("not an error").status(), 400 | 414 | 431));
+    assert_eq!(other_response.status(), 200);
 }
 
 #[test]
-fn a_head_that_comes_too_slowly_is_told_so_and_an_idle_connection_is_kept() {
+fn slow_headers_get_408_and_an_idle_connection_stays_open() {
     let site = site();
     let proxy = site.proxies[2].callers;
-    let mut idle = call("GET /read/x", "r-first").send(proxy).expect("a connection");
-    let first = http::read(&mut BufReader::new(idle.try_clone().expect("a handle"))).expect("an answer");
-    let mut slow = TcpStream::connect(proxy).expect("a connection");
-    slow.write_all(b"GET /read/x HTTP/1.1\r\nHost: desk.ex").expect("it is sent");
-
-    // The limit of a head is 1 s, that of an idle connection 5 s.
-    let told = http::read(&mut BufReader::new(slow)).expect("an answer").expect("not the end");
-    idle.write_all(&call("GET /read/x", "r-second").text()).expect("it is sent");
-    let second = http::read(&mut BufReader::new(idle)).expect("an answer");
-
-    assert_eq!(told.status(), 408);
-    assert_eq!(told.header("connection"), Some("close"));
-    assert_eq!(first.expect("not the end").status(), 200);
-    assert_eq!(second.expect("it was idle, not slow").status(), 200);
+    let mut idle = call("GET /read/x", "r-first").send(proxy).expect("the connection opens");
+    let first =
+        http::read(&mut BufReader::new(idle.try_clone().expect("the socket can be cloned"))).expect("a response");
+    let mut slow = TcpStream::connect(proxy).expect("the connection opens");
+    slow.write_all(b"GET /read/x HTTP/1.1\r\nHost: desk.ex").expect("the bytes are sent");
+
+    // The header timeout is 1 s, the idle timeout 5 s.
+    let slow_response =
+        http::read(&mut BufReader::new(slow)).expect("a response").expect("the connection is still open");
+    idle.write_all(&call("GET /read/x", "r-second").text()).expect("the bytes are sent");
+    let second = http::read(&mut BufReader::new(idle)).expect("a response");
+
+    assert_eq!(slow_response.status(), 408);
+    assert_eq!(slow_response.header("connection"), Some("close"));
+    assert_eq!(first.expect("the connection is still open").status(), 200);
+    assert_eq!(second.expect("the idle connection is still open").status(), 200);
 }
 
 #[rstest]
@@ -100,16 +106,16 @@
 #[case(EndpointMode::AnswersAnother)]
 #[case(EndpointMode::Unsealed)]
 #[case(EndpointMode::Sheds)]
-fn idempotent_work_is_served_by_the_sound_endpoint(#[case] mode: EndpointMode) {
+fn idempotent_requests_succeed_while_one_endpoint_misbehaves(#[case] mode: EndpointMode) {
     let site = site();
     desks(&site)[0].set_mode(mode);
 
-    for at in 0..10 {
-        let request = format!("r-{at}");
-        let answer = ask(&site, "GET /read/x", &request);
+    for i in 0..10 {
+        let request = format!("r-{i}");
+        let response = ask(&site, "GET /read/x", &request);
 
-        assert_eq!(answer.status(), 200, "{mode:?} {request}: {answer:?}");
-        assert_eq!(answer.body, format!("desk {request}").into_bytes());
+        assert_eq!(response.status(), 200, "{mode:?} {request}: {response:?}");
+        assert_eq!(response.body, format!("desk {request}").into_bytes());
     }
 }
 
@@ -121,175 +127,184 @@
 #[case(EndpointMode::AnswersAnother, 502)]
 #[case(EndpointMode::Unsealed, 502)]
 #[case(EndpointMode::Hangs, 504)]
-fn work_that_may_have_run_is_never_repeated_nor_called_not_run(#[case] mode: EndpointMode, #[case] status: u16) {
+fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_retried(
+    #[case] mode: EndpointMode,
+    #[case] status: u16,
+) {
     let site = site();
     set_modes(&site, mode);
 
-    let answer = ask(&site, "POST /write/x", "r-1");
+    let response = ask(&site, "POST /write/x", "r-1");
 
-    assert_eq!(answer.status(), status, "{answer:?}");
+    assert_eq!(response.status(), status, "{response:?}");
     assert_eq!(runs(&site, "r-1"), 1);
 }
 
 #[test]
-fn work_that_all_endpoints_decline_is_refused_as_not_run() {
+fn a_request_that_all_endpoints_decline_gets_503_and_does_not_run() {
     let site = site();
     set_modes(&site, EndpointMode::Sheds);
 
-    let answer = ask(&site, "POST /write/x", "r-1");
+    let response = ask(&site, "POST /write/x", "r-1");
 
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").is_some(), "a refused caller is told when to come back");
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some(), "the refusal has no Retry-After");
     assert_eq!(runs(&site, "r-1"), 0);
-    assert!(arrivals(&site, "r-1").len() <= 2, "no more endpoints than the route allows");
+    assert!(arrivals(&site, "r-1").len() <= 2, "the request reached more endpoints than max_attempts allows");
 }
 
 #[rstest]
 #[case(EndpointMode::SaysMore)]
 #[case(EndpointMode::Unframed)]
-fn odd_answers_that_are_whole_are_passed_on(#[case] mode: EndpointMode) {
+fn complete_responses_with_extra_bytes_or_without_a_length_are_returned(#[case] mode: EndpointMode) {
     let site = site();
     set_modes(&site, mode);
 
-    for at in 0..6 {
-        let request = format!("r-{at}");
-        let answer = ask(&site, "POST /write/x", &request);
+    for i in 0..6 {
+        let request = format!("r-{i}");
+        let response = ask(&site, "POST /write/x", &request);
 
-        assert_eq!((answer.status(), answer.body), (200, format!("desk {request}").into_bytes()));
+        assert_eq!((response.status(), response.body), (200, format!("desk {request}").into_bytes()));
         assert_eq!(runs(&site, &request), 1);
     }
 }
 
 #[test]
-fn an_endpoint_that_fails_fast_bears_no_work_that_must_not_repeat() {
+fn writes_avoid_a_failing_endpoint_whose_standing_recovers_later() {
     let site = site();
-    let bad = &desks(&site)[0];
-    bad.set_mode(EndpointMode::FailsFast);
-    for at in 0..8 {
-        ask(&site, "GET /read/x", &format!("warm-{at}"));
+    let failing = &desks(&site)[0];
+    failing.set_mode(EndpointMode::FailsFast);
+    for i in 0..8 {
+        ask(&site, "GET /read/x", &format!("warm-{i}"));
     }
 
-    let statuses: Vec<u16> = (0..20).map(|at| ask(&site, "POST /write/x", &format!("w-{at}")).status()).collect();
+    let statuses: Vec<u16> = (0..20).map(|i| ask(&site, "POST /write/x", &format!("w-{i}")).status()).collect();
 
     assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
-    bad.set_mode(EndpointMode::Good);
-    let cleared = eventually(|| {
+    failing.set_mode(EndpointMode::Good);
+    let recovered = eventually(|| {
         ask(&site, "GET /read/x", "again");
         site.proxies[0].status()["row"]["endpoint"]["standing"] == "clean"
     });
-    assert!(cleared, "good answers clear it");
+    assert!(recovered, "the endpoint's standing is not clean after good responses");
 }
 
 #[test]
-fn an_endpoint_never_works_on_more_than_its_slots() {
+fn an_endpoint_never_runs_more_requests_than_it_has_slots() {
     let site = site();
 
-    let answers: Vec<_> = thread::scope(|scope| {
-        let ask = |at: usize| ask(&site, "POST /write/x", &format!("r-{at}")).status();
-        let threads: Vec<_> = (0..24).map(|at| scope.spawn(move || ask(at))).collect();
-        threads.into_iter().map(|it| it.join().expect("a caller")).collect()
+    let statuses: Vec<_> = thread::scope(|scope| {
+        let send = |i: usize| ask(&site, "POST /write/x", &format!("r-{i}")).status();
+        let threads: Vec<_> = (0..24).map(|i| scope.spawn(move || send(i))).collect();
+        threads.into_iter().map(|it| it.join().expect("the caller thread does not panic")).collect()
     });
 
-    assert!(answers.iter().all(|it| *it == 200), "{answers:?}");
+    assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
     assert!(desks(&site).iter().all(|it| it.most_running() <= 2));
 }
 
 #[test]
-fn a_caller_that_leaves_frees_the_endpoint() {
+fn a_running_request_is_cancelled_when_its_caller_disconnects() {
     let site = site();
     set_modes(&site, EndpointMode::Hangs);
 
-    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("a connection");
+    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("the connection opens");
     assert!(eventually(|| arrivals(&site, "r-1").len() == 1));
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(stream);
 
     assert!(eventually(|| arrivals(&site, "r-1").iter().all(|it| it.cut_off)));
-    assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
+    assert!(disconnected_at.elapsed() < Duration::from_millis(500), "{:?}", disconnected_at.elapsed());
 }
 
 #[test]
-fn a_route_s_timeout_ends_the_wait() {
+fn a_hanging_request_gets_504_at_the_route_timeout() {
     let site = site();
     set_modes(&site, EndpointMode::Hangs);
     let start = Instant::now();
 
-    let answer = ask(&site, "POST /write/x", "r-1");
+    let response = ask(&site, "POST /write/x", "r-1");
 
-    assert_eq!(answer.status(), 504);
+    assert_eq!(response.status(), 504);
     assert!(start.elapsed() < Duration::from_millis(2_500), "{:?}", start.elapsed());
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_work_once_its_word_is_acknowledged() {
+fn a_draining_endpoint_gets_no_requests_after_its_announcement_is_acknowledged() {
     let site = site();
     let proxy = &site.proxies[0];
     proxy.silence_endpoint();
 
-    let status = proxy.endpoint.announce(proxy.announcements, true).expect("an acknowledgement");
-    let before = proxy.endpoint.arrivals().len();
-    for at in 0..10 {
-        assert_eq!(ask(&site, "POST /write/x", &format!("r-{at}")).status(), 200);
+    let status = proxy.endpoint.announce(proxy.announcements, true).expect("the announcement is acknowledged");
+    let arrivals_before = proxy.endpoint.arrivals().len();
+    for i in 0..10 {
+        assert_eq!(ask(&site, "POST /write/x", &format!("r-{i}")).status(), 200);
     }
 
     assert_eq!(status, 200);
-    assert_eq!(proxy.endpoint.arrivals().len(), before);
+    assert_eq!(proxy.endpoint.arrivals().len(), arrivals_before);
 }
 
 #[test]
-fn late_words_of_an_earlier_incarnation_change_nothing() {
+fn stale_announcements_of_an_earlier_incarnation_are_ignored() {
     let site = site();
     let proxy = &site.proxies[0];
     proxy.silence_endpoint();
     thread::sleep(Duration::from_millis(400));
     let earlier = proxy.endpoint.life();
     proxy.endpoint.replace("i-new");
-    proxy.endpoint.announce(proxy.announcements, false).expect("an acknowledgement");
+    proxy.endpoint.announce(proxy.announcements, false).expect("the announcement is acknowledged");
 
-    proxy.endpoint.announce_as(proxy.announcements, &earlier, "ready", 99).expect("an acknowledgement");
-    proxy.endpoint.announce_as(proxy.announcements, &earlier, "draining", 100).expect("an acknowledgement");
+    proxy.endpoint.announce_as(proxy.announcements, &earlier, "ready", 99).expect("the announcement is acknowledged");
+    proxy
+        .endpoint
+        .announce_as(proxy.announcements, &earlier, "draining", 100)
+        .expect("the announcement is acknowledged");
 
     assert_eq!(proxy.status()["row"]["endpoint"]["id"]["name"], "i-new");
-    for at in 0..6 {
-        assert_eq!(ask(&site, "POST /write/x", &format!("r-{at}")).status(), 200);
+    for i in 0..6 {
+        assert_eq!(ask(&site, "POST /write/x", &format!("r-{i}")).status(), 200);
     }
 }
 
 #[test]
-fn work_for_an_incarnation_that_is_gone_runs_nowhere_else() {
+fn requests_for_a_replaced_incarnation_do_not_run_at_its_successor() {
     let site = site();
     let proxy = &site.proxies[0];
     proxy.silence_endpoint();
     proxy.endpoint.replace("i-unannounced");
 
-    for at in 0..10 {
-        let request = format!("r-{at}");
+    for i in 0..10 {
+        let request = format!("r-{i}");
         assert_eq!(ask(&site, "POST /write/x", &request).status(), 200);
         assert_eq!(runs(&site, &request), 1);
     }
-    assert!(proxy.endpoint.arrivals().iter().all(|it| !it.ran), "another incarnation ran what was not meant for it");
+    assert!(
+        proxy.endpoint.arrivals().iter().all(|it| !it.ran),
+        "the new incarnation ran a request that was granted for the old one"
+    );
 }
 
 #[test]
-fn a_new_configuration_is_in_force_at_once_and_an_old_one_never_again() {
+fn a_new_configuration_is_activated_and_an_older_version_ignored() {
     let site = site();
     let moved = config(7, &[("read", route("/read/", "idempotent", 2, &[("ledger", 1)]))]);
     site.store.put_config(moved);
 
-    let in_force = eventually(|| ask(&site, "GET /read/x", "r-moved").body.starts_with(b"ledger"));
+    let activated = eventually(|| ask(&site, "GET /read/x", "r-moved").body.starts_with(b"ledger"));
     site.store.put_config(two_routes(3));
     // Longer than the pause between a change and the next watch.
     thread::sleep(Duration::from_millis(1_000));
 
-    assert!(in_force);
+    assert!(activated);
     assert_eq!(ask(&site, "POST /write/x", "r-dropped").status(), 404);
-    assert!(ask(&site, "GET /read/x", "r-kept").body.starts_with(b"ledger"), "version 3 does not replace version 7");
+    assert!(ask(&site, "GET /read/x", "r-kept").body.starts_with(b"ledger"), "version 3 replaced version 7");
 }
 
 #[test]
-fn a_storm_of_configurations_costs_few_calls_and_ends_with_the_last() {
+fn rapid_configuration_changes_cost_few_store_calls_and_the_last_is_activated() {
     let site = site();
-    let (before, last) = (site.store.calls(), 41);
+    let (calls_before, last) = (site.store.calls(), 41);
 
     for version in 2..=last {
         site.store.put_config(two_routes(version));
@@ -297,44 +312,45 @@
     }
 
     assert!(eventually(|| site.proxies.iter().all(|it| it.status()["row"]["version"] == last)));
-    let calls = site.store.calls() - before;
-    assert!(calls <= 3 * 8, "{calls} calls of three proxies for 40 changes in a second");
+    let calls = site.store.calls() - calls_before;
+    assert!(calls <= 3 * 8, "three proxies made {calls} store calls for 40 changes in a second");
 }
 
 #[test]
-fn a_split_route_keeps_its_shares() {
+fn a_weighted_route_keeps_its_weights() {
     let site = site();
-    let split = route("/read/", "idempotent", 2, &[("desk", 3), ("ledger", 1)]);
-    site.store.put_config(config(2, &[("read", split)]));
+    let weighted = route("/read/", "idempotent", 2, &[("desk", 3), ("ledger", 1)]);
+    site.store.put_config(config(2, &[("read", weighted)]));
     assert!(eventually(|| ask(&site, "GET /read/x", "r").body.starts_with(b"ledger")));
 
-    let ledger = (0..40).filter(|at| ask(&site, "GET /read/x", &format!("r-{at}")).body.starts_with(b"ledger")).count();
+    let sent_to_ledger =
+        (0..40).filter(|i| ask(&site, "GET /read/x", &format!("r-{i}")).body.starts_with(b"ledger")).count();
 
-    assert!((9..=11).contains(&ledger), "{ledger} of 40");
+    assert!((9..=11).contains(&sent_to_ledger), "{sent_to_ledger} of 40 requests went to ledger");
 }
 
 #[rstest]
 #[case(StoreMode::Busy)]
 #[case(StoreMode::Reset)]
-fn without_the_store_requests_go_on_and_a_restarted_proxy_learns_from_its_peers(#[case] mode: StoreMode) {
+fn a_proxy_that_restarts_without_the_store_recovers_from_its_peers_and_serves(#[case] mode: StoreMode) {
     let mut site = site();
     site.store.set_mode(mode);
 
-    site.proxies[2].restart().expect("a proxy");
+    site.proxies[2].restart().expect("the proxy starts");
 
-    assert!(eventually(|| site.proxies[2].is_ready()), "its configuration comes from a peer");
+    assert!(eventually(|| site.proxies[2].is_ready()), "the proxy got no configuration from its peers");
     let served =
         eventually(|| call("POST /write/x", "r").answer(site.proxies[2].callers).is_ok_and(|it| it.status() == 200));
     assert!(served);
 }
 
 #[test]
-fn a_store_that_loses_answers_gets_one_object_for_each_proxy() {
-    let mut site = Site::start().expect("a store");
+fn lost_store_responses_leave_one_presence_object_per_proxy() {
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
     site.store.set_mode(StoreMode::LosesAnswers);
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
+    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
     thread::sleep(Duration::from_millis(600));
     site.store.set_mode(StoreMode::Good);
 
@@ -345,54 +361,54 @@
 }
 
 #[test]
-fn a_configuration_is_found_again_when_the_history_is_gone() {
+fn a_configuration_change_is_found_after_the_store_compacts_its_history() {
     let site = site();
-    thread::sleep(SETTLED);
+    thread::sleep(STARTUP_TIME);
     site.store.compact();
     site.store.put_config(config(9, &[("other", route("/other/", "idempotent", 2, &[("desk", 1)]))]));
 
     assert!(eventually(|| ask(&site, "GET /other/x", "r").status() == 200));
-    let calls = site.store.calls();
+    let calls_before = site.store.calls();
     thread::sleep(Duration::from_millis(500));
-    assert!(site.store.calls() - calls <= 3, "a watch waits; it does not ask again and again");
+    assert!(site.store.calls() - calls_before <= 3, "the watches poll the store instead of waiting for a change");
 }
 
 #[test]
-fn a_proxy_without_a_configuration_says_so_and_promises_nothing_else() {
-    let mut site = Site::start().expect("a store");
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
+fn a_proxy_without_a_configuration_is_not_ready_and_answers_503() {
+    let mut site = Site::start().expect("the store starts");
+    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
     assert!(eventually(|| call("GET /read/x", "r").answer(site.proxies[0].callers).is_ok()));
 
-    let answer = call("GET /read/x", "r").answer(site.proxies[0].callers).expect("an answer");
+    let response = call("GET /read/x", "r").answer(site.proxies[0].callers).expect("a response");
 
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").is_some());
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
     assert!(!site.proxies[0].is_ready());
 }
 
 #[test]
-fn bad_settings_are_told_and_the_good_ones_stay() {
+fn a_reload_of_invalid_settings_is_reported_and_keeps_the_current_ones() {
     let site = site();
     let proxy = &site.proxies[0];
-    std::fs::write(proxy.settings(), "name = 3\n").expect("a file");
+    std::fs::write(proxy.settings(), "name = 3\n").expect("the settings file is written");
 
     proxy.signal(Signal::HUP);
 
-    let told = eventually(|| proxy.events().iter().any(|it| it["event"] == "reloaded" && it["changed"] == false));
-    assert!(told);
+    let reported = eventually(|| proxy.events().iter().any(|it| it["event"] == "reloaded" && it["changed"] == false));
+    assert!(reported);
     assert_eq!(ask(&site, "GET /read/x", "r").status(), 200);
 }
 
 #[test]
-fn a_kept_connection_carries_many_requests() {
+fn a_persistent_connection_carries_many_requests() {
     let site = site();
-    let mut stream = call("GET /read/x", "r-0").send(site.proxies[2].callers).expect("a connection");
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut stream = call("GET /read/x", "r-0").send(site.proxies[2].callers).expect("the connection opens");
+    let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
 
-    for at in 0..5 {
-        let answer = http::read(&mut reader).expect("an answer").expect("not just an end");
-        assert_eq!((answer.status(), answer.body), (200, format!("desk r-{at}").into_bytes()));
-        let next = call("GET /read/x", &format!("r-{}", at + 1)).text();
+    for i in 0..5 {
+        let response = http::read(&mut reader).expect("a response").expect("the connection is still open");
+        assert_eq!((response.status(), response.body), (200, format!("desk r-{i}").into_bytes()));
+        let next = call("GET /read/x", &format!("r-{}", i + 1)).text();
         std::io::Write::write_all(&mut stream, &next).expect("the connection is open");
     }
     drop(stream);
@@ -401,48 +417,55 @@
 }
 
 #[test]
-fn three_kinds_of_failed_request_are_explained_from_their_ids() {
+fn the_cause_of_a_failed_request_is_found_from_its_id() {
     let site = site();
     set_modes(&site, EndpointMode::FailsFast);
     ask(&site, "POST /write/x", "r-gray");
     set_modes(&site, EndpointMode::Resets);
     ask(&site, "POST /write/x", "r-lost");
     set_modes(&site, EndpointMode::Hangs);
-    let held: Vec<_> =
-        (0..4).map(|at| call("POST /write/x", &format!("r-held-{at}")).send(site.proxies[2].callers)).collect();
+    let open_requests: Vec<_> =
+        (0..4).map(|i| call("POST /write/x", &format!("r-held-{i}")).send(site.proxies[2].callers)).collect();
     thread::sleep(Duration::from_millis(100));
     ask(&site, "POST /write/x", "r-refused");
 
-    let (gray, lost, refused) = (cause(&site, "r-gray"), cause(&site, "r-lost"), cause(&site, "r-refused"));
-
-    drop(held);
-    assert!(gray.contains("answered 500 itself") && gray.contains("suspect of failing gray"), "{gray}");
-    assert!(lost.contains("Broken") && lost.contains("It may have run"), "{lost}");
-    assert!(refused.contains("No place became free") && refused.contains("It has not run"), "{refused}");
+    let (gray_cause, lost_cause, refused_cause) =
+        (cause(&site, "r-gray"), cause(&site, "r-lost"), cause(&site, "r-refused"));
+
+    drop(open_requests);
+    assert!(
+        gray_cause.contains("answered 500 itself") && gray_cause.contains("suspect of failing gray"),
+        "{gray_cause}"
+    );
+    assert!(lost_cause.contains("Broken") && lost_cause.contains("It may have run"), "{lost_cause}");
+    assert!(
+        refused_cause.contains("No place became free") && refused_cause.contains("It has not run"),
+        "{refused_cause}"
+    );
 }
 
 #[test]
-fn a_place_in_use_is_not_accounted_for_as_offered() {
-    const LONG: Duration = Duration::from_millis(1_000);
-    let mut site = Site::start().expect("a store");
+fn slot_time_of_a_running_request_is_not_counted_as_offered() {
+    const SERVICE_TIME: Duration = Duration::from_millis(1_000);
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
-    site.add("desk", "dc-1", 2, LONG).expect("a proxy");
-    assert!(site.wait_for(1), "the proxy knows its endpoint");
+    site.add("desk", "dc-1", 2, SERVICE_TIME).expect("the proxy starts");
+    assert!(site.wait_for(1), "the proxy has not learnt of its endpoint");
 
-    let answer = call("POST /write/x", "r-1").answer(site.proxies[0].callers).expect("an answer");
-    let uses = slot_millis(&site);
+    let response = call("POST /write/x", "r-1").answer(site.proxies[0].callers).expect("a response");
+    let slot_times = slot_millis(&site);
 
-    assert_eq!(answer.status(), 200);
-    let sum_of = |name: &str| uses.iter().find(|it| it.0 == name).map_or(0, |it| it.1);
-    assert!(sum_of("answered") >= 900, "{uses:?}");
-    assert!(sum_of("offered") < sum_of("answered") / 2, "{uses:?}");
+    assert_eq!(response.status(), 200);
+    let total = |name: &str| slot_times.iter().find(|it| it.0 == name).map_or(0, |it| it.1);
+    assert!(total("answered") >= 900, "{slot_times:?}");
+    assert!(total("offered") < total("answered") / 2, "{slot_times:?}");
 }
 
-/// The account of the first proxy's slots.
+/// Slot time of the first proxy's endpoint in milliseconds, by use, from the proxy's metrics.
 fn slot_millis(site: &Site) -> Vec<(String, u64)> {
     let metrics = Call { line: "GET /metrics", host: "metrics", request: "", deadline: WORK * 100, body: b"" };
-    let answer = metrics.answer(site.proxies[0].metrics).expect("metrics");
-    let text = String::from_utf8(answer.body).expect("text");
+    let response = metrics.answer(site.proxies[0].metrics).expect("the metrics are served");
+    let text = String::from_utf8(response.body).expect("the metrics are UTF-8");
     let lines = text.lines().filter_map(|it| it.strip_prefix("jayreach_slot_milliseconds_total{use=\""));
     lines.filter_map(|it| it.split_once("\"} ")).map(|it| (it.0.to_owned(), it.1.parse().unwrap_or(0))).collect()
 }
