--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -1,10 +1,5 @@
-//! On one day a request ended every endpoint that began to work on it, and came again and again, at any proxy and under
-//! new ids. Its endpoints were held to have failed by themselves: nothing was kept of what they had worked on. So the
-//! second attempt ended a second endpoint, and the next request with the same content began anew. Six endpoints were gone
-//! within 2.3 s, and whatever took their places went the same way.
-//!
-//! What settled it: `failed` lines of one request at two endpoints, `{"unknown":"Broken"}` after 92 and 41 ms, and twelve
-//! more endpoints that ended under requests with the same fingerprint after three had.
+//! A request that crashes every endpoint which executes it, sent again and again to all proxies and under new ids.
+//! The tests guard against one such request taking down all endpoints of a service.
 
 use std::{
     collections::BTreeMap,
@@ -20,135 +15,144 @@
     site::{Site, eventually},
 };
 
-/// How many endpoints may end under a request before it is known everywhere, and after which time it must be.
-const KNOWN_AFTER_ENDS: usize = 3;
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
-/// How often it may still reach an endpoint after that.
-const MORE: usize = 3;
-/// How long such a request works before its endpoint ends.
-const ENDS_AFTER: Duration = Duration::from_millis(30);
-/// How long until the endpoint is back.
-const DOWN_FOR: Duration = Duration::from_millis(800);
-/// The pause between two requests of one caller.
+/// Crashes after which a request must be quarantined.
+const CRASHES_BEFORE_QUARANTINE: usize = 3;
+/// Time after the last of these crashes within which all proxies must quarantine the request.
+const QUARANTINE_DELAY: Duration = Duration::from_secs(3);
+/// Runs that are allowed after that.
+const MAX_LATE_RUNS: usize = 3;
+/// Time from the start of the request at an endpoint to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
+/// Time from a crash to the restart of the endpoint.
+const RESTART_DELAY: Duration = Duration::from_millis(800);
+/// Pause between two crashing requests.
 const PAUSE: Duration = Duration::from_millis(150);
-/// For how long the request comes again.
-const DAY: Duration = Duration::from_secs(9);
+/// Time for which the crashing request is sent.
+const SEND_DURATION: Duration = Duration::from_secs(9);
 const ENDPOINTS: usize = 6;
 
-fn site(line: &str) -> Site {
-    let mut site = Site::start().expect("a store");
+fn start_site(line: &str) -> Site {
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
-    for at in 0..ENDPOINTS {
-        site.add("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK).expect("a proxy");
+    for i in 0..ENDPOINTS {
+        site.add("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK).expect("the proxy starts");
     }
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
-    assert!(site.wait_for(ENDPOINTS + 1), "all proxies know all endpoints");
+    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    assert!(site.wait_for(ENDPOINTS + 1), "a proxy has not learnt of all endpoints");
     let target = line.split(' ').nth(1).expect("a method and a target");
-    site.proxies.iter().for_each(|it| it.endpoint.crash_on(target, ENDS_AFTER, DOWN_FOR));
+    site.proxies.iter().for_each(|it| it.endpoint.crash_on(target, CRASH_DELAY, RESTART_DELAY));
     site
 }
 
-/// Sends the request again and again, at one proxy after the other, for a while.
-fn send_on(site: &Site, line: &str, name: &str, duration: Duration) {
+/// Sends the request repeatedly for `duration`, to the proxies in turn, each time under a new id.
+fn send_repeatedly(site: &Site, line: &str, id_prefix: &str, duration: Duration) {
     let start = Instant::now();
     for number in 0.. {
         if start.elapsed() >= duration {
             break;
         }
         let proxy = &site.proxies[number % site.proxies.len()];
-        // Whatever it is told, it comes again.
-        _ = call(line, &format!("{name}-{number}")).answer(proxy.callers);
+        // The request is sent again after any response.
+        _ = call(line, &format!("{id_prefix}-{number}")).answer(proxy.callers);
         thread::sleep(PAUSE);
     }
 }
 
-/// When requests for `target` began to run, in order; each ended its endpoint.
-fn runs(site: &Site, line: &str) -> Vec<Instant> {
+/// Times at which the request began to run, in order; each run crashed its endpoint.
+fn run_starts(site: &Site, line: &str) -> Vec<Instant> {
     let arrivals = site.proxies.iter().flat_map(|it| it.endpoint.arrivals());
-    let mut runs: Vec<Instant> = arrivals.filter(|it: &Arrival| it.ran && it.line == line).map(|it| it.at).collect();
-    runs.sort_unstable();
-    runs
+    let mut starts: Vec<Instant> = arrivals.filter(|it: &Arrival| it.ran && it.line == line).map(|it| it.at).collect();
+    starts.sort_unstable();
+    starts
 }
 
-/// How many of the runs came later than the request had to be known.
-fn later(runs: &[Instant]) -> usize {
-    let Some(third) = runs.get(KNOWN_AFTER_ENDS - 1) else { return 0 };
-    let known = *third + ENDS_AFTER + KNOWN_AFTER;
-    runs.iter().filter(|it| **it > known).count()
+/// Number of runs that began after the request had to be quarantined.
+fn count_late_runs(starts: &[Instant]) -> usize {
+    let Some(third) = starts.get(CRASHES_BEFORE_QUARANTINE - 1) else { return 0 };
+    let quarantined_by = *third + CRASH_DELAY + QUARANTINE_DELAY;
+    starts.iter().filter(|it| **it > quarantined_by).count()
 }
 
 #[rstest]
 #[case::idempotent("GET /read/crash")]
 #[case::not_idempotent("POST /write/crash")]
-fn a_request_that_ends_its_endpoints_is_soon_sent_no_more(#[case] line: &str) {
-    let site = site(line);
+fn a_crashing_request_is_quarantined_after_few_crashes(#[case] line: &str) {
+    let site = start_site(line);
 
-    send_on(&site, line, "crash", DAY);
+    send_repeatedly(&site, line, "crash", SEND_DURATION);
 
-    let runs = runs(&site, line);
-    println!("{} runs, {} of them late", runs.len(), later(&runs));
-    assert!(!runs.is_empty(), "it was sent to endpoints at first");
+    let starts = run_starts(&site, line);
+    println!("{} runs, {} of them late", starts.len(), count_late_runs(&starts));
+    assert!(!starts.is_empty(), "the request never ran");
     let cause = cause(&site, "crash-9");
     assert!(cause.starts_with("It was held back: ") && cause.contains("endpoint(s) ended under requests"), "{cause}");
-    assert!(later(&runs) <= MORE, "{} of {} runs came after it had to be known", later(&runs), runs.len());
+    assert!(
+        count_late_runs(&starts) <= MAX_LATE_RUNS,
+        "{} of {} runs began after the request had to be quarantined",
+        count_late_runs(&starts),
+        starts.len()
+    );
 }
 
 #[rstest]
 #[case::once(1)]
 #[case::thrice(3)]
-fn a_request_that_ends_its_endpoints_is_known_after_all_proxies_were_killed(#[case] times: usize) {
+fn a_quarantine_outlasts_a_kill_of_all_proxies(#[case] restarts: usize) {
     let line = "GET /read/crash";
-    let mut site = site(line);
-    send_on(&site, line, "crash", DAY / 3);
-    let before = runs(&site, line).len();
+    let mut site = start_site(line);
+    send_repeatedly(&site, line, "crash", SEND_DURATION / 3);
+    let runs_before = run_starts(&site, line).len();
 
-    for time in 0..times {
+    for restart in 0..restarts {
         site.proxies.iter_mut().for_each(|it| it.kill());
-        site.proxies.iter_mut().for_each(|it| it.restart().expect("a proxy starts"));
+        site.proxies.iter_mut().for_each(|it| it.restart().expect("the proxy starts"));
         assert!(eventually(|| site.proxies.iter().all(|it| it.is_ready())));
-        thread::sleep(KNOWN_AFTER);
-        send_on(&site, line, &format!("again-{time}"), DAY / 3);
+        thread::sleep(QUARANTINE_DELAY);
+        send_repeatedly(&site, line, &format!("again-{restart}"), SEND_DURATION / 3);
     }
 
-    let after = runs(&site, line).len() - before;
-    println!("{before} runs before the kill, {after} after it");
-    assert!(before >= 1 && after <= MORE, "it ran {before} times before the kill and {after} times after it");
+    let runs_after = run_starts(&site, line).len() - runs_before;
+    println!("{runs_before} runs before the kill, {runs_after} after it");
+    assert!(
+        runs_before >= 1 && runs_after <= MAX_LATE_RUNS,
+        "{runs_before} runs before the kill, {runs_after} after it"
+    );
 }
 
 #[test]
-fn requests_beside_one_that_ends_its_endpoints_are_served_on() {
+fn other_requests_are_served_while_one_crashes_endpoints() {
     let line = "GET /read/crash";
-    let site = site(line);
-    let over = AtomicBool::new(false);
+    let site = start_site(line);
+    let done = AtomicBool::new(false);
 
-    // Some of them ask for the same as others do, as callers of a page do.
-    let told: Vec<u16> = thread::scope(|scope| {
-        let beside: Vec<_> = (0..3)
+    // Every second request has the same target, so that requests with equal fingerprints run concurrently.
+    let statuses: Vec<u16> = thread::scope(|scope| {
+        let callers: Vec<_> = (0..3)
             .map(|caller| {
-                let (site, over) = (&site, &over);
+                let (site, done) = (&site, &done);
                 scope.spawn(move || {
-                    let mut told = Vec::new();
+                    let mut statuses = Vec::new();
                     for number in 0.. {
-                        if over.load(Ordering::Acquire) {
+                        if done.load(Ordering::Acquire) {
                             break;
                         }
                         let line = format!("GET /read/{}", if number % 2 == 0 { 0 } else { number });
                         let proxy = &site.proxies[(caller + number) % site.proxies.len()];
-                        let answer = call(&line, &format!("beside-{caller}-{number}")).answer(proxy.callers);
-                        told.push(answer.map_or(0, |it| it.status()));
+                        let response = call(&line, &format!("beside-{caller}-{number}")).answer(proxy.callers);
+                        statuses.push(response.map_or(0, |it| it.status()));
                     }
-                    told
+                    statuses
                 })
             })
             .collect();
-        send_on(&site, line, "crash", DAY);
-        over.store(true, Ordering::Release);
-        beside.into_iter().flat_map(|it| it.join().expect("a caller does not panic")).collect()
+        send_repeatedly(&site, line, "crash", SEND_DURATION);
+        done.store(true, Ordering::Release);
+        callers.into_iter().flat_map(|it| it.join().expect("the caller thread does not panic")).collect()
     });
 
     let mut by_status = BTreeMap::new();
-    told.iter().for_each(|it| *by_status.entry(*it).or_insert(0) += 1);
+    statuses.iter().for_each(|it| *by_status.entry(*it).or_insert(0) += 1);
     let served = by_status.get(&200).copied().unwrap_or(0);
     println!("{by_status:?}");
-    assert!(served * 100 >= told.len() * 99, "of {} requests were served {served}: {by_status:?}", told.len());
+    assert!(served * 100 >= statuses.len() * 99, "{served} of {} requests were served: {by_status:?}", statuses.len());
 }
