--- a/standins/tests/many_proxies.rs
+++ b/standins/tests/many_proxies.rs
@@ -1,4 +1,4 @@
-//! Forty real proxies of one service: what each knows and holds, and who hears of a change.
+//! Forty proxies of one service as separate processes: links between them, spread of changes, and load on the store.
 
 use std::{sync::OnceLock, thread, time::Duration};
 
@@ -8,26 +8,28 @@
 };
 
 const PROXIES: usize = 40;
-/// Of the eight that a proxy chooses and those that choose it, with room for the unevenness of a hash.
-const MOST_LINKS: usize = 26;
-
-/// After this a fleet that has started asks the store for nothing but watches.
-const SETTLED: Duration = Duration::from_secs(6);
-
-/// Both data centres half each; one fleet at a time, since it is large.
-fn fleet() -> (Site, std::sync::MutexGuard<'static, ()>) {
-    static ONE: OnceLock<std::sync::Mutex<()>> = OnceLock::new();
-    let alone = ONE.get_or_init(Default::default).lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut site = Site::start().expect("a store");
+/// Links that a proxy may have: the eight to the peers that it selects and those from peers that select it, whose
+/// number varies with the hashes.
+const MAX_LINKS: usize = 26;
+
+/// Time from its start until a fleet's only calls to the store are watches.
+const STARTUP_TIME: Duration = Duration::from_secs(6);
+
+/// Starts a fleet, half of it in each data centre. The guard keeps other tests from starting a second fleet meanwhile.
+fn start_fleet() -> (Site, std::sync::MutexGuard<'static, ()>) {
+    static FLEET_LOCK: OnceLock<std::sync::Mutex<()>> = OnceLock::new();
+    let fleet_guard =
+        FLEET_LOCK.get_or_init(Default::default).lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
-    for at in 0..PROXIES {
-        site.add("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK).expect("a proxy");
+    for i in 0..PROXIES {
+        site.add("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK).expect("the proxy starts");
     }
-    assert!(site.wait_for(PROXIES), "all proxies know all endpoints");
-    (site, alone)
+    assert!(site.wait_for(PROXIES), "a proxy has not learnt of all endpoints");
+    (site, fleet_guard)
 }
 
-fn links(proxy: &Proxy) -> usize {
+fn link_count(proxy: &Proxy) -> usize {
     let status = proxy.status();
     let peers = status["peers"].as_array().cloned().unwrap_or_default();
     peers.iter().filter(|it| it["linked"] == true).count()
@@ -38,25 +40,25 @@
 }
 
 #[test]
-fn each_knows_all_talks_to_few_and_few_ask_the_store() {
-    let (site, _alone) = fleet();
-    // What links and watches the start took more of is given up within seconds.
-    let few = eventually(|| site.proxies.iter().all(|it| (8..=MOST_LINKS).contains(&links(it))));
-    thread::sleep(SETTLED);
-    let before = site.store.calls();
+fn proxies_keep_few_links_and_a_configuration_change_costs_few_store_calls() {
+    let (site, _fleet_guard) = start_fleet();
+    // Proxies close the additional links and watches of the start within seconds.
+    let few_links = eventually(|| site.proxies.iter().all(|it| (8..=MAX_LINKS).contains(&link_count(it))));
+    thread::sleep(STARTUP_TIME);
+    let calls_before = site.store.calls();
 
     site.store.put_config(config(7, &[("read", route("/read/", "idempotent", 2, &[("desk", 1)]))]));
-    let in_force = eventually(|| site.proxies.iter().all(|it| has_version(it, 7)));
-    let asked = site.store.calls() - before;
+    let activated = eventually(|| site.proxies.iter().all(|it| has_version(it, 7)));
+    let calls = site.store.calls() - calls_before;
 
-    assert!(few, "{:?}", site.proxies.iter().map(links).collect::<Vec<_>>());
-    assert!(in_force);
-    assert!(asked <= 2 * 3 * 3, "{asked} calls; three proxies watch in each data centre");
+    assert!(few_links, "{:?}", site.proxies.iter().map(link_count).collect::<Vec<_>>());
+    assert!(activated);
+    assert!(calls <= 2 * 3 * 3, "{calls} store calls; three proxies watch in each data centre");
 }
 
 #[test]
-fn a_change_is_in_force_though_half_of_the_fleet_dies_at_once() {
-    let (mut site, _alone) = fleet();
+fn a_change_is_activated_after_half_of_the_fleet_was_killed() {
+    let (mut site, _fleet_guard) = start_fleet();
     for proxy in site.proxies.iter_mut().step_by(2) {
         proxy.kill();
     }
@@ -67,28 +69,28 @@
     assert!(eventually(|| living().all(|it| has_version(it, 7))));
     let statuses: Vec<u16> = living()
         .enumerate()
-        .map(|(at, it)| call("GET /read/x", &format!("r-{at}")).answer(it.callers).map_or(0, |it| it.status()))
+        .map(|(i, it)| call("GET /read/x", &format!("r-{i}")).answer(it.callers).map_or(0, |it| it.status()))
         .collect();
     assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
 }
 
 #[test]
-fn one_that_starts_again_serves_at_once_and_costs_the_store_little() {
-    let (mut site, _alone) = fleet();
-    // The others list each other once more a second or two after their start.
-    thread::sleep(SETTLED);
-    let before = site.store.calls();
+fn a_restarted_proxy_serves_its_first_request_and_makes_few_store_calls() {
+    let (mut site, _fleet_guard) = start_fleet();
+    // Proxies list the presence objects once more a second or two after their start.
+    thread::sleep(STARTUP_TIME);
+    let calls_before = site.store.calls();
 
-    site.proxies[3].restart().expect("a process");
+    site.proxies[3].restart().expect("the proxy starts");
     let ready = eventually(|| site.proxies[3].is_ready());
-    let answer = call("GET /read/x", "r-1").answer(site.proxies[3].callers).expect("an answer");
-    let asked = site.store.calls() - before;
+    let response = call("GET /read/x", "r-1").answer(site.proxies[3].callers).expect("a response");
+    let calls = site.store.calls() - calls_before;
 
-    assert!(ready, "{answer:?}");
-    assert_eq!(answer.status(), 200, "{answer:?} {:?}", site.proxies[3].events());
+    assert!(ready, "{response:?}");
+    assert_eq!(response.status(), 200, "{response:?} {:?}", site.proxies[3].events());
     let stale_reads = 2;
     let watches = 2 * 3 * 2;
-    assert!(asked <= stale_reads + watches, "{asked} calls");
-    let known = site.proxies[3].status()["peers"].as_array().map_or(0, Vec::len);
-    assert_eq!(known, PROXIES - 1);
+    assert!(calls <= stale_reads + watches, "{calls} store calls");
+    let known_peers = site.proxies[3].status()["peers"].as_array().map_or(0, Vec::len);
+    assert_eq!(known_peers, PROXIES - 1);
 }
