--- a/standins/tests/other_writers.rs
+++ b/standins/tests/other_writers.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their id, and entries and announcements that others left or sent.
+//! Endpoints that restart under their id, stale announcements, and invalid announcements, store objects and routes.
 
 use std::{thread, time::Duration};
 
@@ -12,96 +12,105 @@
 
 const WORK: Duration = Duration::from_millis(20);
 
-/// One endpoint of `desk`, and one of `ledger`, beside whose proxy callers ask.
-fn site() -> Site {
-    let mut site = Site::start().expect("a store");
+/// Starts one endpoint of `desk` and one of `ledger`, each with its proxy; callers use the proxy of `ledger`.
+fn start_site() -> Site {
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
-    assert!(site.wait_for(2), "all proxies know all endpoints");
+    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    assert!(site.wait_for(2), "a proxy has not learnt of all endpoints");
     site
 }
 
-fn ask(site: &Site, request: &str) -> u16 {
+fn send_write(site: &Site, request: &str) -> u16 {
     let call = Call { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
     call.answer(site.proxies[1].callers).map_or(0, |it| it.status())
 }
 
-fn born(proxy: &Proxy) -> Value {
+fn known_start_time(proxy: &Proxy) -> Value {
     proxy.status()["row"]["endpoint"]["id"]["born"].clone()
 }
 
 #[test]
-fn an_endpoint_that_starts_again_under_its_id_gets_work_at_once() {
-    let site = site();
+fn an_endpoint_restarted_under_its_id_gets_requests() {
+    let site = start_site();
     let proxy = &site.proxies[0];
-    let before = born(proxy);
+    let old_start_time = known_start_time(proxy);
 
-    // Its announcements go on, with a sequence that begins anew.
+    // The endpoint keeps announcing itself, with sequence numbers from 1 again.
     proxy.endpoint.restart();
 
-    assert!(eventually(|| born(proxy) == json!(proxy.endpoint.life().1)), "{before} is still known");
-    assert_eq!(ask(&site, "r-1"), 200);
+    assert!(
+        eventually(|| known_start_time(proxy) == json!(proxy.endpoint.life().1)),
+        "the proxy still has the start time {old_start_time}"
+    );
+    assert_eq!(send_write(&site, "r-1"), 200);
 }
 
 #[test]
-fn an_endpoint_that_left_may_come_back_under_its_id() {
-    let site = site();
+fn a_drained_endpoint_may_return_under_its_id() {
+    let site = start_site();
     let proxy = &site.proxies[0];
     proxy.silence_endpoint();
-    proxy.endpoint.announce(proxy.announcements, true).expect("an acknowledgement");
-    assert_eq!(ask(&site, "r-1"), 503);
+    proxy.endpoint.announce(proxy.announcements, true).expect("the announcement is acknowledged");
+    assert_eq!(send_write(&site, "r-1"), 503);
 
     proxy.endpoint.restart();
-    proxy.endpoint.announce(proxy.announcements, false).expect("an acknowledgement");
+    proxy.endpoint.announce(proxy.announcements, false).expect("the announcement is acknowledged");
 
-    assert!(eventually(|| ask(&site, "r-2") == 200));
+    assert!(eventually(|| send_write(&site, "r-2") == 200));
 }
 
 #[test]
-fn late_words_of_the_life_before_neither_end_the_next_nor_come_back() {
-    let site = site();
+fn stale_announcements_neither_drain_nor_revive_an_endpoint() {
+    let site = start_site();
     let proxy = &site.proxies[0];
     proxy.silence_endpoint();
     let earlier = proxy.endpoint.life();
     proxy.endpoint.restart();
-    proxy.endpoint.announce(proxy.announcements, false).expect("an acknowledgement");
+    proxy.endpoint.announce(proxy.announcements, false).expect("the announcement is acknowledged");
 
-    proxy.endpoint.announce_as(proxy.announcements, &earlier, "draining", 100).expect("an acknowledgement");
-    assert_eq!(ask(&site, "r-1"), 200);
-    proxy.endpoint.announce(proxy.announcements, true).expect("an acknowledgement");
-    proxy.endpoint.announce_as(proxy.announcements, &earlier, "ready", 101).expect("an acknowledgement");
+    proxy
+        .endpoint
+        .announce_as(proxy.announcements, &earlier, "draining", 100)
+        .expect("the announcement is acknowledged");
+    assert_eq!(send_write(&site, "r-1"), 200);
+    proxy.endpoint.announce(proxy.announcements, true).expect("the announcement is acknowledged");
+    proxy.endpoint.announce_as(proxy.announcements, &earlier, "ready", 101).expect("the announcement is acknowledged");
 
-    assert_eq!(ask(&site, "r-2"), 503);
+    assert_eq!(send_write(&site, "r-2"), 503);
 }
 
 #[rstest]
 #[case::not_text(b"\xff\xfe\x00".to_vec())]
 #[case::fields_missing(b"{\"service\":\"desk\"}".to_vec())]
-#[case::another_service(heartbeat("lobby", "ready"))]
-#[case::another_state(heartbeat("desk", "asleep"))]
-#[case::another_address(heartbeat("desk", "draining"))]
-fn announcements_of_others_change_nothing(#[case] body: Vec<u8>) {
-    let site = site();
+#[case::another_service(heartbeat_body("lobby", "ready"))]
+#[case::another_state(heartbeat_body("desk", "asleep"))]
+#[case::another_address(heartbeat_body("desk", "draining"))]
+fn invalid_announcements_are_rejected_and_change_nothing(#[case] body: Vec<u8>) {
+    let site = start_site();
     let proxy = &site.proxies[0];
 
-    let status = Endpoint::send_heartbeat(proxy.announcements, "i-1", &body).expect("an answer");
+    let status = Endpoint::send_heartbeat(proxy.announcements, "i-1", &body).expect("a response");
 
     assert_eq!(status, 400);
     assert_eq!(proxy.status()["row"]["endpoint"]["id"]["name"], "i-1");
-    assert_eq!(ask(&site, "r-1"), 200);
-    assert!(eventually(|| proxy.events().iter().any(|it| it["event"] == "entry-skipped")), "no line says so");
+    assert_eq!(send_write(&site, "r-1"), 200);
+    assert!(
+        eventually(|| proxy.events().iter().any(|it| it["event"] == "entry-skipped")),
+        "no entry-skipped event was written"
+    );
 }
 
-fn heartbeat(service: &str, state: &str) -> Vec<u8> {
+fn heartbeat_body(service: &str, state: &str) -> Vec<u8> {
     json!({"service": service, "address": "192.0.2.7:1", "slots": 9, "state": state, "sequence": 9_000, "born": 1})
         .to_string()
         .into_bytes()
 }
 
 #[test]
-fn proxies_find_each_other_beside_objects_of_other_writers() {
-    let mut site = Site::start().expect("a store");
+fn proxies_find_each_other_despite_invalid_presence_objects() {
+    let mut site = Site::start().expect("the store starts");
     for (name, spec) in [
         ("a", json!({"name": "a"})),
         ("b", json!({"name": "b", "peers": 7})),
@@ -112,25 +121,25 @@
         site.store.put("jayreach-proxies", name, spec);
     }
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
+    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
 
-    assert!(site.wait_for(2), "all proxies know all endpoints");
-    assert_eq!(ask(&site, "r-1"), 200);
+    assert!(site.wait_for(2), "a proxy has not learnt of all endpoints");
+    assert_eq!(send_write(&site, "r-1"), 200);
 }
 
 #[test]
-fn a_route_that_is_not_understood_refuses_its_callers_alone() {
-    let site = site();
-    let odd = json!({"host": HOST, "path_prefix": "/odd/", "kind": "non_idempotent", "timeout_s": "soon"});
+fn requests_to_an_invalid_route_get_503_and_other_routes_work() {
+    let site = start_site();
+    let invalid = json!({"host": HOST, "path_prefix": "/odd/", "kind": "non_idempotent", "timeout_s": "soon"});
     let write = route("/write/", "some_new_kind", 0, &[("desk", 1)]);
-    site.store.put_config(config(2, &[("odd", odd), ("write", write)]));
+    site.store.put_config(config(2, &[("odd", invalid), ("write", write)]));
 
     let call = Call { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
     assert!(eventually(|| call.answer(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
     thread::sleep(WORK);
 
-    assert_eq!(ask(&site, "r-2"), 200);
-    let told = |it: &Value| it["event"] == "config-refused" && it["place"] == "routes.odd";
-    assert!(eventually(|| site.proxies[1].events().iter().any(told)));
+    assert_eq!(send_write(&site, "r-2"), 200);
+    let is_reported = |it: &Value| it["event"] == "config-refused" && it["place"] == "routes.odd";
+    assert!(eventually(|| site.proxies[1].events().iter().any(is_reported)));
 }
