--- a/standins/tests/proxy_soak.rs
+++ b/standins/tests/proxy_soak.rs
@@ -1,12 +1,12 @@
-//! Short soaks of real proxies with fixed seeds: the promises hold while faults come and go.
+//! Short soaks of proxies as separate processes, with random faults from fixed seeds.
 
 use std::time::Duration;
 
 use rstest::rstest;
 use standins::platform::soak::{self, SoakOptions};
 
-/// Seeds that failed stay here, each with a line on its cause. 23 never ended at 15 s: the stand-in's endpoint waited without
-/// end for the word of a paused proxy. 865 counted a crash at 13.61 s: a reload met a proxy that had no handler yet.
+/// Seeds that once failed: with 23 an endpoint waited forever for the acknowledgement of a paused proxy; with 865
+/// SIGHUP killed a starting proxy that had no handler yet.
 #[rstest]
 #[case(3, 12, false, false)]
 #[case(8, 12, false, false)]
@@ -14,7 +14,7 @@
 #[case(31, 12, true, false)]
 #[case(32, 12, true, true)]
 #[case(865, 20, false, false)]
-fn promises_hold_between_faulty_neighbours(
+fn proxy_checks_pass_under_random_faults(
     #[case] seed: u64,
     #[case] seconds: u64,
     #[case] crashing: bool,
@@ -23,7 +23,7 @@
     let options =
         SoakOptions { seed, duration: Duration::from_secs(seconds), proxies: 6, crashing, restoring, verbose: false };
 
-    let verdict = soak::run(&options).expect("the fleet starts");
+    let report = soak::run(&options).expect("the fleet starts");
 
-    assert!(verdict.holds(), "{verdict}");
+    assert!(report.holds(), "{report}");
 }
