--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that are held back: trials in one proxy's name only, and the way out for one that ends nothing.
+//! Quarantined requests: only one proxy claims a trial, and a request that crashes nothing is released.
 
 use std::{
     thread,
@@ -19,8 +19,8 @@
 
 const KIND: &str = "jayreach-quarantine";
 
-/// A read that is held back, whether it should be or not.
-fn held(target: &str) -> QuarantineObject {
+/// The store's object of a quarantined read.
+fn quarantined_read(target: &str) -> QuarantineObject {
     let fingerprint = Fingerprint::of_request("GET", HOST, target, b"", b"");
     let mut quarantine = Quarantine::default();
     for _ in 0..2 {
@@ -29,67 +29,66 @@
     QuarantineObject { fingerprint, crash_record: quarantine.crash_record(fingerprint), written_by: "vm-1".into() }
 }
 
-fn run<T>(work: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, work)
+fn block_on<T>(future: impl Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is built");
+    LocalSet::new().block_on(&runtime, future)
 }
 
 #[test]
-fn of_proxies_that_want_to_begin_a_trial_one_does() {
-    let store = store::Store::start().expect("a store");
+fn only_the_first_claim_of_a_trial_succeeds() {
+    let store = store::Store::start().expect("the store starts");
     let client = Store::new(store.address);
-    let known = held("/read/page");
+    let object = quarantined_read("/read/page");
 
-    run(async {
-        client.add_quarantined(&known).await.expect("it is written");
-        let first = client.claim_trial(&known).await.expect("an answer");
-        let second = client.claim_trial(&QuarantineObject { written_by: "vm-2".into(), ..known.clone() }).await;
+    block_on(async {
+        client.add_quarantined(&object).await.expect("the object is written");
+        let first = client.claim_trial(&object).await.expect("a response");
+        let second = client.claim_trial(&QuarantineObject { written_by: "vm-2".into(), ..object.clone() }).await;
 
-        let TrialClaim::Claimed(case) = first else { panic!("{first:?}") };
-        assert_eq!(case.trials(), 1);
-        assert_eq!(second.expect("an answer"), TrialClaim::ClaimedByOther(case));
+        let TrialClaim::Claimed(record) = first else { panic!("{first:?}") };
+        assert_eq!(record.trials(), 1);
+        assert_eq!(second.expect("a response"), TrialClaim::ClaimedByOther(record));
     });
 }
 
 #[test]
-fn an_object_that_was_changed_meanwhile_is_not_written_over() {
-    let store = store::Store::start().expect("a store");
+fn one_of_two_concurrent_trial_claims_succeeds() {
+    let store = store::Store::start().expect("the store starts");
     let client = Store::new(store.address);
-    let known = held("/read/page");
+    let object = quarantined_read("/read/page");
 
-    run(async {
-        client.add_quarantined(&known).await.expect("it is written");
-        let (one, other) = tokio::join!(client.claim_trial(&known), client.claim_trial(&known));
-        let begun = [one, other].into_iter().filter(|it| matches!(it, Ok(TrialClaim::Claimed(_)))).count();
-        assert_eq!(begun, 1);
+    block_on(async {
+        client.add_quarantined(&object).await.expect("the object is written");
+        let (first, second) = tokio::join!(client.claim_trial(&object), client.claim_trial(&object));
+        let claimed = [first, second].into_iter().filter(|it| matches!(it, Ok(TrialClaim::Claimed(_)))).count();
+        assert_eq!(claimed, 1);
     });
 }
 
-/// Whatever brought it there, the way out is its first trial.
 #[test]
-fn a_request_that_is_held_back_and_ends_nothing_is_free_after_its_first_trial() {
+fn a_harmless_quarantined_request_is_released_everywhere() {
     let mut site = desk::site();
-    let object = held("/read/page");
+    let object = quarantined_read("/read/page");
     let name = object.fingerprint.to_string();
     site.store.put(KIND, &name, json!(object));
-    site.proxies.iter_mut().for_each(|it| it.restart().expect("a proxy starts"));
+    site.proxies.iter_mut().for_each(|it| it.restart().expect("the proxy starts"));
     assert!(site.wait_for(3));
-    assert!(eventually(|| ask(&site, "GET /read/page", "early").status() == 503), "it is held back");
+    assert!(eventually(|| ask(&site, "GET /read/page", "early").status() == 503), "the request is not quarantined");
     let start = Instant::now();
 
-    let mut told = Vec::new();
-    while start.elapsed() < Duration::from_secs(40) && !told.contains(&200) {
-        told.push(ask(&site, "GET /read/page", &format!("r-{}", told.len())).status());
+    let mut statuses = Vec::new();
+    while start.elapsed() < Duration::from_secs(40) && !statuses.contains(&200) {
+        statuses.push(ask(&site, "GET /read/page", &format!("r-{}", statuses.len())).status());
         thread::sleep(Duration::from_millis(500));
     }
 
-    assert_eq!(told.last(), Some(&200), "after {:?}: {told:?}", start.elapsed());
-    assert!(eventually(|| site.store.names(KIND).is_empty()), "the store is told, too");
-    let everywhere = site.proxies.iter().enumerate().all(|(at, it)| {
+    assert_eq!(statuses.last(), Some(&200), "after {:?}: {statuses:?}", start.elapsed());
+    assert!(eventually(|| site.store.names(KIND).is_empty()), "the object is still in the store");
+    let released = site.proxies.iter().enumerate().all(|(i, it)| {
         eventually(|| {
-            let answer = call("GET /read/page", &format!("after-{at}")).answer(it.callers);
-            answer.is_ok_and(|it| it.status() == 200)
+            let response = call("GET /read/page", &format!("after-{i}")).answer(it.callers);
+            response.is_ok_and(|it| it.status() == 200)
         })
     });
-    assert!(everywhere);
+    assert!(released);
 }
