--- a/standins/tests/restored_store.rs
+++ b/standins/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! The store is restored from a backup some seconds old: what the system wrote there since is gone, and revisions are given out
-//! again. A watch that went on from a revision of before would miss every change up to it.
+//! The store is restored from a backup: newer objects of the proxies are gone and revisions are reused. A watch that
+//! continued from an old revision would miss every change up to it.
 
 use std::{thread, time::Duration};
 
@@ -9,52 +9,62 @@
     site::{Site, eventually},
 };
 
-/// A proxy that lost its watch is back at the store by then.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// After a change the watches are taken up again within this time.
-const WATCHED_AGAIN: Duration = Duration::from_millis(700);
-/// More changes than the proxies had seen since the backup.
-const OTHERS: u32 = 40;
+/// Time after the restore within which all proxies have activated the change.
+const ACTIVATED_WITHIN: Duration = Duration::from_secs(2);
+/// Time after a change within which the proxies watch again.
+const WATCHED_WITHIN: Duration = Duration::from_millis(700);
+/// Changes of other objects after the restore; more than the changes since the backup.
+const CHANGES_AFTER_RESTORE: u32 = 40;
 
-fn names(site: &Site, kind: &str) -> usize {
+fn object_count(site: &Site, kind: &str) -> usize {
     site.store.names(kind).len()
 }
 
 #[test]
-fn a_change_among_revisions_that_are_given_out_again_is_in_force_in_time() {
+fn a_change_under_a_reused_revision_is_activated_in_time() {
     let site = desk::site();
     assert!(eventually(|| site.proxies.iter().all(|it| it.status()["watching"] == true)));
     site.store.back_up();
     (0..5).for_each(|it| site.store.put("another-s", "y", json!(it)));
     site.store.put_config(two_routes(2));
-    let has = |version: u32| site.proxies.iter().all(|it| it.status()["row"]["version"] == version);
-    assert!(eventually(|| has(2)));
-    thread::sleep(WATCHED_AGAIN);
+    let all_have_version = |version: u32| site.proxies.iter().all(|it| it.status()["row"]["version"] == version);
+    assert!(eventually(|| all_have_version(2)));
+    thread::sleep(WATCHED_WITHIN);
 
-    site.store.restore(Some(two_routes(3)), OTHERS);
-    thread::sleep(IN_FORCE);
+    site.store.restore(Some(two_routes(3)), CHANGES_AFTER_RESTORE);
+    thread::sleep(ACTIVATED_WITHIN);
 
-    assert!(has(3), "{:?}", site.proxies.iter().map(|it| it.status()["row"]["version"].take()).collect::<Vec<_>>());
+    assert!(
+        all_have_version(3),
+        "{:?}",
+        site.proxies.iter().map(|it| it.status()["row"]["version"].take()).collect::<Vec<_>>()
+    );
 }
 
 #[test]
-fn what_proxies_had_written_is_written_again() {
-    let mut site = Site::start().expect("a store");
+fn proxies_rewrite_their_objects_after_a_restore() {
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
     site.store.back_up();
     for data_centre in ["dc-1", "dc-2", "dc-1"] {
-        site.add("desk", data_centre, 2, desk::WORK).expect("a proxy");
+        site.add("desk", data_centre, 2, desk::WORK).expect("the proxy starts");
     }
     assert!(site.wait_for(3));
-    assert!(eventually(|| names(&site, "jayreach-proxies") == 3));
+    assert!(eventually(|| object_count(&site, "jayreach-proxies") == 3));
     site.proxies.iter().for_each(|it| {
         it.endpoint.crash_on("/read/crash", Duration::from_millis(20), Duration::from_millis(300));
     });
     _ = desk::ask(&site, "GET /read/crash", "crash");
-    assert!(eventually(|| names(&site, "jayreach-quarantine") == 1));
+    assert!(eventually(|| object_count(&site, "jayreach-quarantine") == 1));
 
-    site.store.restore(None, OTHERS);
+    site.store.restore(None, CHANGES_AFTER_RESTORE);
 
-    assert!(eventually(|| names(&site, "jayreach-proxies") == 3), "so that others find them at their start");
-    assert!(eventually(|| names(&site, "jayreach-quarantine") == 1), "so that it outlasts the end of all proxies");
+    assert!(
+        eventually(|| object_count(&site, "jayreach-proxies") == 3),
+        "the presence objects are not in the store again"
+    );
+    assert!(
+        eventually(|| object_count(&site, "jayreach-quarantine") == 1),
+        "the quarantine object is not in the store again"
+    );
 }
