--- a/standins/tests/signals.rs
+++ b/standins/tests/signals.rs
@@ -1,5 +1,5 @@
-//! A reload that reached a proxy in its first moments ended it: the system's default for the signal is to end the process,
-//! and the handler came only after the settings had been read, the listeners opened and the tasks started.
+//! Signals sent to a proxy that is still starting. Without an early handler, the default action of SIGHUP would kill the
+//! process.
 
 use std::{
     io::Write as _,
@@ -12,12 +12,12 @@
 use rustix::process::{Pid, Signal, kill_process};
 use standins::fleet;
 
-/// Long enough for a process to begin to read its settings.
-const BEGUN: Duration = Duration::from_millis(300);
-/// Within this it has done with a signal, or hasn't heard it.
-const HEARD: Duration = Duration::from_millis(1_500);
+/// Time after which a started process waits for its settings.
+const STARTUP_TIME: Duration = Duration::from_millis(300);
+/// Time to wait for the exit of a proxy after it got its settings.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Settings with addresses of their own.
+/// Settings with addresses that no other test uses.
 fn settings(number: u8) -> String {
     let address = |port: u16| format!("127.63.1.{number}:{port}");
     format!(
@@ -34,20 +34,21 @@
     )
 }
 
-/// A proxy that waits for its settings.
-fn beginning() -> Child {
-    let mut command = Command::new(fleet::program_path("jayreach").expect("it is built"));
+/// Starts a proxy that waits for its settings on standard input.
+fn start_proxy() -> Child {
+    let mut command = Command::new(fleet::program_path("jayreach").expect("the jayreach program is built"));
     command.args(["proxy", "--settings", "/dev/stdin"]);
-    let child = command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
-    thread::sleep(BEGUN);
+    let child =
+        command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the proxy starts");
+    thread::sleep(STARTUP_TIME);
     child
 }
 
-fn ends_within(child: &mut Child, limit: Duration) -> Option<std::process::ExitStatus> {
+fn wait_for_exit(child: &mut Child, timeout: Duration) -> Option<std::process::ExitStatus> {
     let start = Instant::now();
-    while start.elapsed() < limit {
-        if let Some(it) = child.try_wait().expect("it is ours") {
-            return Some(it);
+    while start.elapsed() < timeout {
+        if let Some(status) = child.try_wait().expect("the process can be waited for") {
+            return Some(status);
         }
         thread::sleep(Duration::from_millis(20));
     }
@@ -57,17 +58,29 @@
 #[rstest]
 #[case::reload(1, Signal::HUP, false)]
 #[case::stop(2, Signal::TERM, true)]
-fn a_signal_before_the_settings_are_read_is_kept(#[case] number: u8, #[case] signal: Signal, #[case] ends: bool) {
-    let mut proxy = beginning();
+fn a_signal_received_before_the_settings_are_read_is_handled(
+    #[case] number: u8,
+    #[case] signal: Signal,
+    #[case] exits: bool,
+) {
+    let mut proxy = start_proxy();
 
-    kill_process(Pid::from_child(&proxy), signal).expect("it runs");
-    thread::sleep(BEGUN);
-    assert!(proxy.try_wait().expect("it is ours").is_none(), "it has not ended by the signal itself");
-    proxy.stdin.take().expect("piped").write_all(settings(number).as_bytes()).expect("it reads its settings");
+    kill_process(Pid::from_child(&proxy), signal).expect("the proxy runs");
+    thread::sleep(STARTUP_TIME);
+    assert!(
+        proxy.try_wait().expect("the process can be waited for").is_none(),
+        "the signal ended the proxy before it read its settings"
+    );
+    proxy
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(settings(number).as_bytes())
+        .expect("the proxy reads its settings");
 
-    let ended = ends_within(&mut proxy, HEARD);
-    // One that has ended needs no signal.
+    let exit_status = wait_for_exit(&mut proxy, EXIT_TIMEOUT);
+    // Fails if the proxy has exited.
     _ = proxy.kill();
     _ = proxy.wait();
-    assert_eq!(ended.map(|it| it.success()), ends.then_some(true));
+    assert_eq!(exit_status.map(|it| it.success()), exits.then_some(true));
 }
