--- a/standins/tests/stopping.rs
+++ b/standins/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! Proxies that stop, are killed and start again: what callers and endpoints see.
+//! Graceful shutdown, kill and restart of proxies: responses to callers and requests at endpoints.
 
 use std::{
     io::BufReader,
@@ -15,133 +15,136 @@
     site::{Proxy, Site, eventually},
 };
 
-/// Sends requests one after the other until told otherwise; returns how each ended.
-fn keep_asking(proxy: &Proxy, line: &str, stop: Instant) -> Vec<Result<u16, std::io::ErrorKind>> {
-    let mut ends = Vec::new();
-    while Instant::now() < stop {
-        let request = format!("{line}-{}", ends.len());
-        ends.push(
+/// Sends requests one after the other until `end`; returns the status or the error of each.
+fn send_until(proxy: &Proxy, line: &str, end: Instant) -> Vec<Result<u16, std::io::ErrorKind>> {
+    let mut results = Vec::new();
+    while Instant::now() < end {
+        let request = format!("{line}-{}", results.len());
+        results.push(
             call(line, &request.replace(' ', "")).answer(proxy.callers).map(|it| it.status()).map_err(|it| it.kind()),
         );
     }
-    ends
+    results
 }
 
 #[test]
-fn a_stop_cuts_nothing_that_was_taken() {
+fn a_graceful_stop_of_a_guard_fails_no_requests() {
     let mut site = site();
-    let stop = Instant::now() + Duration::from_millis(2_500);
+    let end = Instant::now() + Duration::from_millis(2_500);
 
-    let ends = thread::scope(|scope| {
-        let asking = scope.spawn(|| keep_asking(&site.proxies[2], "POST /write/x", stop));
+    let results = thread::scope(|scope| {
+        let caller = scope.spawn(|| send_until(&site.proxies[2], "POST /write/x", end));
         thread::sleep(Duration::from_millis(300));
         site.proxies[0].signal(Signal::TERM);
-        asking.join().expect("a caller")
+        caller.join().expect("the caller thread does not panic")
     });
 
-    assert!(ends.iter().all(|it| *it == Ok(200)), "{ends:?}");
-    assert!(site.proxies[0].ends(), "the process ends by itself");
+    assert!(results.iter().all(|it| *it == Ok(200)), "{results:?}");
+    assert!(site.proxies[0].ends(), "the process did not exit");
     assert!(!site.proxies[0].is_ready());
 }
 
 #[test]
-fn a_stopping_guard_goes_on_with_what_is_sure_to_end() {
+fn a_stopping_guard_accepts_requests_that_end_in_time() {
     let mut site = site();
-    for at in 0..12 {
-        assert_eq!(ask(&site, "GET /read/x", &format!("r-first-{at}")).status(), 200);
+    for i in 0..12 {
+        assert_eq!(ask(&site, "GET /read/x", &format!("r-first-{i}")).status(), 200);
     }
-    let at_stopping = |site: &Site| site.proxies[0].endpoint.arrivals().len();
+    let count_arrivals = |site: &Site| site.proxies[0].endpoint.arrivals().len();
 
     site.proxies[0].signal(Signal::TERM);
     assert!(eventually(|| !site.proxies[0].is_ready()));
-    let before = at_stopping(&site);
-    let ends: Vec<u16> = (0..16).map(|at| ask(&site, "GET /read/x", &format!("r-{at}")).status()).collect();
-    let taken = at_stopping(&site) - before;
-    assert!(site.proxies[0].ends(), "the process ends by itself");
+    let arrivals_before = count_arrivals(&site);
+    let statuses: Vec<u16> = (0..16).map(|i| ask(&site, "GET /read/x", &format!("r-{i}")).status()).collect();
+    let accepted = count_arrivals(&site) - arrivals_before;
+    assert!(site.proxies[0].ends(), "the process did not exit");
 
-    assert!(ends.iter().all(|it| *it == 200), "{ends:?}");
-    assert!(taken > 0, "its endpoint lives on and has room");
+    assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
+    assert!(accepted > 0, "the endpoint of the stopping guard got no requests");
     assert!(site.proxies[0].endpoint.arrivals().iter().all(|it| !it.cut_off));
 }
 
 #[test]
-fn a_stopping_ingress_answers_what_it_holds() {
+fn a_stopping_ingress_answers_open_requests() {
     let site = site();
     set_modes(&site, EndpointMode::Hangs);
-    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("a connection");
+    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("the connection opens");
     assert!(eventually(|| arrivals(&site, "r-1").len() == 1));
 
     site.proxies[2].signal(Signal::TERM);
-    let answer = http::read(&mut BufReader::new(stream)).expect("an answer").expect("not just an end");
+    let response = http::read(&mut BufReader::new(stream)).expect("a response").expect("the connection is still open");
 
-    assert!(matches!(answer.status(), 502 | 504), "it may have run: {answer:?}");
+    assert!(
+        matches!(response.status(), 502 | 504),
+        "the request may have run, so its status must be 502 or 504: {response:?}"
+    );
 }
 
 #[test]
-fn a_stopping_ingress_refuses_at_once_what_it_could_not_finish() {
+fn a_stopping_ingress_refuses_late_requests_at_once() {
     let site = site();
     set_modes(&site, EndpointMode::Hangs);
-    let held = call("GET /read/x", "r-held").send(site.proxies[2].callers).expect("a connection");
+    let open_request = call("GET /read/x", "r-held").send(site.proxies[2].callers).expect("the connection opens");
     assert!(eventually(|| arrivals(&site, "r-held").len() == 1));
     site.proxies[2].signal(Signal::TERM);
     thread::sleep(Duration::from_millis(1_600));
     let start = Instant::now();
 
-    let answer = ask(&site, "GET /read/x", "r-late");
+    let response = ask(&site, "GET /read/x", "r-late");
 
-    drop(held);
-    assert_eq!(answer.status(), 503, "{answer:?}");
+    drop(open_request);
+    assert_eq!(response.status(), 503, "{response:?}");
     assert!(start.elapsed() < Duration::from_millis(300), "{:?}", start.elapsed());
-    assert_eq!(answer.header("connection"), Some("close"));
+    assert_eq!(response.header("connection"), Some("close"));
     assert!(arrivals(&site, "r-late").is_empty());
 }
 
 #[test]
-fn a_second_sigterm_grants_the_whole_grace_anew() {
+fn a_second_sigterm_restarts_the_grace_period() {
     let site = site();
     set_modes(&site, EndpointMode::Hangs);
     site.proxies[2].signal(Signal::TERM);
     thread::sleep(Duration::from_millis(1_000));
-    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("a connection");
+    let stream = call("GET /read/x", "r-1").send(site.proxies[2].callers).expect("the connection opens");
     thread::sleep(Duration::from_millis(800));
 
     site.proxies[2].signal(Signal::TERM);
-    let answer = http::read(&mut BufReader::new(stream)).expect("an answer").expect("not just an end");
+    let response = http::read(&mut BufReader::new(stream)).expect("a response").expect("the connection is still open");
 
-    let stopping: Vec<_> = site.proxies[2].events().into_iter().filter(|it| it["event"] == "stopping").collect();
+    let stopping_events: Vec<_> = site.proxies[2].events().into_iter().filter(|it| it["event"] == "stopping").collect();
     let cause = cause(&site, "r-1");
-    assert_eq!(answer.status(), 504, "the route's timeout ends it, not the first grace: {cause} {stopping:?}");
+    assert_eq!(response.status(), 504, "the request was not ended by the route's timeout: {cause} {stopping_events:?}");
 }
 
 #[test]
-fn a_guard_that_is_killed_leaves_no_false_promise() {
+fn a_request_at_a_killed_guard_gets_502_or_504_and_is_not_retried() {
     let mut site = site();
     set_modes(&site, EndpointMode::Hangs);
-    let stream = call("POST /write/x", "r-1").send(site.proxies[2].callers).expect("a connection");
+    let stream = call("POST /write/x", "r-1").send(site.proxies[2].callers).expect("the connection opens");
     assert!(eventually(|| arrivals(&site, "r-1").len() == 1));
 
     for it in &mut site.proxies[..2] {
         it.kill();
     }
-    let answer = http::read(&mut BufReader::new(stream)).expect("an answer").expect("not just an end");
+    let response = http::read(&mut BufReader::new(stream)).expect("a response").expect("the connection is still open");
 
-    assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
+    assert!(matches!(response.status(), 502 | 504), "{response:?}");
     assert_eq!(runs(&site, "r-1"), 1);
 }
 
 #[test]
-fn a_guard_that_restarts_beside_a_living_endpoint_finds_it() {
+fn a_restarted_guard_finds_its_running_endpoint() {
     let mut site = site();
     site.proxies[0].silence_endpoint();
 
-    site.proxies[0].restart().expect("a proxy");
+    site.proxies[0].restart().expect("the proxy starts");
 
     let found = eventually(|| site.proxies[0].status()["row"]["endpoint"]["id"]["name"] == "i-1");
-    assert!(found, "its health path tells which incarnation it is");
+    assert!(found, "the guard did not learn the endpoint's incarnation from its health path");
 }
 
 #[test]
-fn a_guard_that_restarts_asks_the_health_path_that_the_configuration_names() {
+fn a_restarted_guard_probes_the_configured_health_path() {
     let mut site = site();
     let service = site.proxies[0].endpoint.service().to_owned();
     site.proxies[0].endpoint.move_health("/live?deep=1");
@@ -151,7 +154,7 @@
     assert!(eventually(|| site.proxies.iter().all(|it| it.status()["row"]["version"] == 9)));
     site.proxies[0].silence_endpoint();
 
-    site.proxies[0].restart().expect("a proxy");
+    site.proxies[0].restart().expect("the proxy starts");
 
     assert!(eventually(|| site.proxies[0].status()["row"]["endpoint"]["id"]["name"] == "i-1"));
 }
