--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -10,7 +10,7 @@
 
 /// A request of a caller.
 #[derive(Debug, Clone)]
-pub struct Call<'a> {
+pub struct CallerRequest<'a> {
     /// Method and target.
     pub line: &'a str,
     /// The host.
@@ -23,28 +23,28 @@
     pub body: &'a [u8],
 }
 
-impl Call<'_> {
+impl CallerRequest<'_> {
     /// The request's text.
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let deadline = self.deadline.as_millis().to_string();
         let mut headers = vec![("Host", self.host), ("X-Deadline-Ms", &deadline), ("X-Caller-Service", "forged")];
         if !self.request.is_empty() {
             headers.push(("X-Request-Id", self.request));
         }
-        http::text(&format!("{} HTTP/1.1", self.line), &headers, self.body)
+        http::encode(&format!("{} HTTP/1.1", self.line), &headers, self.body)
     }
 
     /// Opens a connection and sends the request.
     pub fn send(&self, proxy: SocketAddr) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(proxy)?;
         stream.set_read_timeout(Some(self.deadline + Duration::from_secs(5)))?;
-        stream.write_all(&self.text())?;
+        stream.write_all(&self.encode())?;
         Ok(stream)
     }
 
     /// Sends the request and reads its answer.
-    pub fn answer(&self, proxy: SocketAddr) -> io::Result<Message> {
+    pub fn send_and_read(&self, proxy: SocketAddr) -> io::Result<Message> {
         let stream = self.send(proxy)?;
-        http::read(&mut BufReader::new(stream))?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        http::read_message(&mut BufReader::new(stream))?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 }
--- a/standins/src/platform/endpoint.rs
+++ b/standins/src/platform/endpoint.rs
@@ -158,7 +158,7 @@
     }
 
     /// A relay before it refuses connections while it is down, as its own address does.
-    pub fn stands_behind(&self, relay: &Relay) {
+    pub fn add_relay(&self, relay: &Relay) {
         self.listeners.lock().unwrap_or_else(PoisonError::into_inner).push(relay.listener.clone());
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Which life it is in: its id, and when it began.
-    pub fn life(&self) -> (String, u64) {
+    pub fn incarnation(&self) -> (String, u64) {
         let state = self.lock();
         (state.instance.clone(), state.born)
     }
@@ -244,7 +244,7 @@
     }
 
     /// The most requests it worked on at once.
-    pub fn most_running(&self) -> u32 {
+    pub fn max_running(&self) -> u32 {
         self.lock().most_running
     }
 
@@ -256,7 +256,7 @@
         self.lock().draining |= draining;
         let state = if self.lock().draining { "draining" } else { "ready" };
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed);
-        self.announce_as(proxy, &self.life(), state, sequence)
+        self.announce_as(proxy, &self.incarnation(), state, sequence)
     }
 
     /// Sends an announcement of a life, with this content.
@@ -279,13 +279,13 @@
         let mut stream = TcpStream::connect(proxy)?;
         stream.set_read_timeout(Some(ACKNOWLEDGED_WITHIN))?;
         let start = format!("POST /instances/{instance}/heartbeat HTTP/1.1");
-        stream.write_all(&http::text(&start, &[("Host", "control")], body))?;
-        let answer = http::read(&mut BufReader::new(stream))?;
+        stream.write_all(&http::encode(&start, &[("Host", "control")], body))?;
+        let answer = http::read_message(&mut BufReader::new(stream))?;
         Ok(answer.map_or(0, |it| it.status()))
     }
 
     /// Answers health questions at another path from now on.
-    pub fn move_health(&self, path: &str) {
+    pub fn set_health_path(&self, path: &str) {
         self.lock().health_path = path.into();
     }
 
@@ -297,13 +297,13 @@
             state.open.push(Arc::downgrade(&open));
         }
         let mut reader = BufReader::new(stream);
-        while let Ok(Some(req)) = http::read(&mut reader) {
-            if req.second() == self.lock().health_path {
+        while let Ok(Some(req)) = http::read_message(&mut reader) {
+            if req.second_word() == self.lock().health_path {
                 let instance = self.lock().instance.clone();
                 let status = if self.lock().draining { 503 } else { 200 };
                 let load = format!("0,0,{}", self.slots);
                 let headers = [("X-Instance-Id", &*instance), ("X-Server-Load", &*load)];
-                if writer.write_all(&http::text(&format!("HTTP/1.1 {status} x"), &headers, b"")).is_err() {
+                if writer.write_all(&http::encode(&format!("HTTP/1.1 {status} x"), &headers, b"")).is_err() {
                     return;
                 }
                 continue;
@@ -324,17 +324,17 @@
         let wrong = req.header("x-expect-instance").is_some_and(|it| it != instance);
         let sheds = mode == EndpointMode::Sheds;
         let at = self.note(req, !wrong && !sheds);
-        let crash = self.lock().crash.clone().filter(|it| it.target == req.second() && !wrong && !sheds);
+        let crash = self.lock().crash.clone().filter(|it| it.target == req.second_word() && !wrong && !sheds);
         if let Some(it) = crash {
             self.work(at, it.after, writer);
             self.crash(it.down_for);
             return false;
         }
         if wrong {
-            return writer.write_all(&http::text("HTTP/1.1 421 x", &[("X-Instance-Id", &instance)], b"")).is_ok();
+            return writer.write_all(&http::encode("HTTP/1.1 421 x", &[("X-Instance-Id", &instance)], b"")).is_ok();
         }
         if sheds {
-            return writer.write_all(&http::text("HTTP/1.1 503 x", &[("X-Not-Executed", "1")], b"")).is_ok();
+            return writer.write_all(&http::encode("HTTP/1.1 503 x", &[("X-Not-Executed", "1")], b"")).is_ok();
         }
         if mode != EndpointMode::FailsFast {
             let work = if mode == EndpointMode::Hangs { Duration::from_secs(20) } else { work };
@@ -345,11 +345,11 @@
         let seal = format!("seal-{id}");
         let headers = [("X-Request-Id", &*id), ("X-Response-Seal", &*seal)];
         let body = format!("{} {id}", self.service).into_bytes();
-        let good = http::text("HTTP/1.1 200 x", &headers, &body);
+        let good = http::encode("HTTP/1.1 200 x", &headers, &body);
         match mode {
             EndpointMode::Good => writer.write_all(&good).is_ok(),
             EndpointMode::FailsFast | EndpointMode::FailsSlowly => {
-                writer.write_all(&http::text("HTTP/1.1 500 x", &headers, b"failed")).is_ok()
+                writer.write_all(&http::encode("HTTP/1.1 500 x", &headers, b"failed")).is_ok()
             }
             EndpointMode::Resets => {
                 // Unread or unsent bytes are thrown away with the connection.
@@ -362,10 +362,10 @@
             }
             EndpointMode::AnswersAnother => {
                 let headers = [("X-Request-Id", "another"), ("X-Response-Seal", "another")];
-                writer.write_all(&http::text("HTTP/1.1 200 x", &headers, b"another's")).is_ok()
+                writer.write_all(&http::encode("HTTP/1.1 200 x", &headers, b"another's")).is_ok()
             }
             EndpointMode::Unsealed => {
-                writer.write_all(&http::text("HTTP/1.1 200 x", &[("X-Request-Id", &id)], &body)).is_ok()
+                writer.write_all(&http::encode("HTTP/1.1 200 x", &[("X-Request-Id", &id)], &body)).is_ok()
             }
             EndpointMode::SaysMore => writer.write_all(&[good.clone(), good].concat()).is_ok(),
             EndpointMode::Unframed => {
@@ -384,7 +384,7 @@
         let mut state = self.lock();
         state.arrivals.push(Arrival {
             request: text("x-request-id"),
-            line: req.start.trim_end_matches(" HTTP/1.1").to_owned(),
+            line: req.start_line.trim_end_matches(" HTTP/1.1").to_owned(),
             caller: text("x-caller-service"),
             deadline_ms: text("x-deadline-ms").parse().unwrap_or(0),
             body: req.body.clone(),
--- a/standins/src/platform/http.rs
+++ b/standins/src/platform/http.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     /// The first line.
-    pub start: String,
+    pub start_line: String,
     /// Name, in lower case, and value.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -23,23 +23,23 @@
     }
 
     /// The second word of the first line: a request's target, or an answer's status.
-    pub fn second(&self) -> &str {
-        self.start.split_whitespace().nth(1).unwrap_or("")
+    pub fn second_word(&self) -> &str {
+        self.start_line.split_whitespace().nth(1).unwrap_or("")
     }
 
     /// An answer's status.
     pub fn status(&self) -> u16 {
-        self.second().parse().unwrap_or(0)
+        self.second_word().parse().unwrap_or(0)
     }
 }
 
 /// Reads one message with a stated length; `None` at the end of the connection.
-pub fn read(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
+pub fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
     let mut message = Message::default();
-    if stream.read_line(&mut message.start)? == 0 {
+    if stream.read_line(&mut message.start_line)? == 0 {
         return Ok(None);
     }
-    message.start.truncate(message.start.trim_end().len());
+    message.start_line.truncate(message.start_line.trim_end().len());
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line)? == 0 {
@@ -60,7 +60,7 @@
 }
 
 /// Writes a message's text.
-pub fn text(start: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode(start: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("{start}\r\n");
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -2,8 +2,8 @@
 //! real proxies as separate processes between them.
 
 pub mod caller;
-pub mod desk;
 pub mod endpoint;
+pub mod fixtures;
 pub mod http;
 pub mod site;
 pub mod soak;
--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     fleet,
-    platform::{caller::Call, endpoint::Endpoint, store::Store},
+    platform::{caller::CallerRequest, endpoint::Endpoint, store::Store},
     relay::Relay,
 };
 
@@ -103,7 +103,7 @@
     }
 
     /// Adds an endpoint with a proxy beside it.
-    pub fn add(&mut self, service: &str, data_centre: &str, slots: u32, work: Duration) -> io::Result<()> {
+    pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work: Duration) -> io::Result<()> {
         let number = self.proxies.len() + 1;
         let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work)?;
         let address = own_address()?;
@@ -112,7 +112,7 @@
         let mut relays = None;
         if self.relays {
             let it = Relays::start(ports[1], endpoint.address, store)?;
-            endpoint.stands_behind(&it.endpoint);
+            endpoint.add_relay(&it.endpoint);
             (advertised, endpoint.address, store) = (it.peers.address, it.endpoint.address, it.store.address);
             relays = Some(it);
         }
@@ -151,10 +151,10 @@
     }
 
     /// Waits until every proxy is ready and knows `endpoints` endpoints that take work.
-    pub fn wait_for(&self, endpoints: usize) -> bool {
+    pub fn wait_until_ready(&self, endpoints: usize) -> bool {
         let found = eventually(|| self.proxies.iter().all(|it| it.is_ready() && it.known_endpoints() == endpoints));
         if !found {
-            self.proxies.iter().for_each(Proxy::complain);
+            self.proxies.iter().for_each(Proxy::print_diagnostics);
         }
         found
     }
@@ -174,8 +174,8 @@
 impl Proxy {
     /// Whether it says that callers should come.
     pub fn is_ready(&self) -> bool {
-        let call = Call { line: "GET /readiness", host: "ready", request: "", deadline: PATIENCE, body: b"" };
-        call.answer(self.readiness).is_ok_and(|it| it.status() == 200)
+        let call = CallerRequest { line: "GET /readiness", host: "ready", request: "", deadline: PATIENCE, body: b"" };
+        call.send_and_read(self.readiness).is_ok_and(|it| it.status() == 200)
     }
 
     /// Its status, as JSON.
@@ -185,8 +185,8 @@
 
     /// The status of the proxy with this metrics address; null if there is none.
     pub fn status_at(metrics: SocketAddr) -> Value {
-        let call = Call { line: "GET /status", host: "status", request: "", deadline: PATIENCE, body: b"" };
-        let answer = call.answer(metrics).ok();
+        let call = CallerRequest { line: "GET /status", host: "status", request: "", deadline: PATIENCE, body: b"" };
+        let answer = call.send_and_read(metrics).ok();
         answer.and_then(|it| serde_json::from_slice(&it.body).ok()).unwrap_or(Value::Null)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Prints what it wrote beside its event lines, and what it knows.
-    pub fn complain(&self) {
+    pub fn print_diagnostics(&self) {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let words: Vec<&str> = text.lines().filter(|it| !it.starts_with('{')).collect();
         eprintln!("{}: {words:?}; status {}", self.settings.display(), self.status());
@@ -211,12 +211,12 @@
     }
 
     /// The path of its settings file.
-    pub fn settings(&self) -> &PathBuf {
+    pub fn settings_path(&self) -> &PathBuf {
         &self.settings
     }
 
     /// The path of its event lines.
-    pub fn log(&self) -> &PathBuf {
+    pub fn log_path(&self) -> &PathBuf {
         &self.log
     }
 
@@ -258,15 +258,15 @@
     }
 
     /// Whether the process has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Whether the process ends by itself within the patience of these tests.
-    pub fn ends(&mut self) -> bool {
+    pub fn exits_in_time(&mut self) -> bool {
         let deadline = Instant::now() + PATIENCE;
         while Instant::now() < deadline {
-            if self.has_ended() {
+            if self.has_exited() {
                 return true;
             }
             thread::sleep(Duration::from_millis(20));
@@ -275,7 +275,7 @@
     }
 
     /// Its endpoint announces itself no more.
-    pub fn silence_endpoint(&self) {
+    pub fn stop_announcements(&self) {
         self.announcing.store(false, Ordering::Relaxed);
         thread::sleep(ANNOUNCE_EVERY * 2);
     }
--- a/standins/src/platform/soak/callers.rs
+++ b/standins/src/platform/soak/callers.rs
@@ -10,7 +10,7 @@
 
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
-use crate::platform::{caller::Call, http, site::HOST};
+use crate::platform::{caller::CallerRequest, http, site::HOST};
 
 /// How long a caller waits; more than the routes' timeout.
 const DEADLINE: Duration = Duration::from_secs(3);
@@ -112,11 +112,11 @@
 /// Sends a request and reads its answer; says whether the connection may be used again.
 pub(super) fn exchange(stream: &mut BufReader<TcpStream>, line: &str, request: &str) -> (Outcome, bool) {
     let body: &[u8] = if line.starts_with("POST") { request.as_bytes() } else { b"" };
-    let call = Call { line, host: HOST, request, deadline: DEADLINE, body };
-    if stream.get_mut().write_all(&call.text()).is_err() {
+    let call = CallerRequest { line, host: HOST, request, deadline: DEADLINE, body };
+    if stream.get_mut().write_all(&call.encode()).is_err() {
         return (Outcome::Closed, false);
     }
-    match http::read(stream) {
+    match http::read_message(stream) {
         Ok(Some(answer)) => {
             let status = answer.status();
             let genuine = answer.header("x-response-seal") == Some(&format!("seal-{request}"))
--- a/standins/src/platform/soak/faults.rs
+++ b/standins/src/platform/soak/faults.rs
@@ -319,11 +319,11 @@
         let deadline = Instant::now() + GRACE;
         // A pause that overlaps would keep it from ending.
         proxy.signal(Signal::CONT);
-        while !proxy.has_ended() && Instant::now() < deadline {
+        while !proxy.has_exited() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
         }
         let now = Instant::now();
-        if !proxy.has_ended() {
+        if !proxy.has_exited() {
             // The platform kills what does not end in time.
             self.disturbed.push(Disturbed { proxy: at, from: now - GRACE, to: now + GRACE });
         }
@@ -335,7 +335,7 @@
     /// A proxy that ended without being told to.
     fn count_crashes(&mut self) -> io::Result<()> {
         for at in 0..self.site.proxies.len() {
-            if !self.down[at] && self.site.proxies[at].has_ended() {
+            if !self.down[at] && self.site.proxies[at].has_exited() {
                 self.crashes += 1;
                 self.site.proxies[at].restart()?;
             }
--- a/standins/src/platform/soak/mod.rs
+++ b/standins/src/platform/soak/mod.rs
@@ -67,9 +67,9 @@
     site.store.put_config(configuration(1));
     for at in 0..options.proxies {
         let service = if at % 3 == 2 { "ledger" } else { "desk" };
-        site.add(service, &format!("dc-{}", at % 2), SLOTS, WORK)?;
+        site.add_vm(service, &format!("dc-{}", at % 2), SLOTS, WORK)?;
     }
-    if !site.wait_for(options.proxies) {
+    if !site.wait_until_ready(options.proxies) {
         return Err(io::Error::other("the fleet did not get ready"));
     }
     let callers: Vec<Caller> = (0..options.proxies * CALLERS)
@@ -155,6 +155,6 @@
         }
         thread::sleep(Duration::from_millis(200));
     }
-    site.proxies.iter().filter(|it| !whole(it)).for_each(Proxy::complain);
+    site.proxies.iter().filter(|it| !whole(it)).for_each(Proxy::print_diagnostics);
     false
 }
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -105,12 +105,12 @@
     }
 
     /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.lock().calls
     }
 
     /// Names of the objects of a kind.
-    pub fn names(&self, kind: &str) -> Vec<String> {
+    pub fn object_names(&self, kind: &str) -> Vec<String> {
         self.lock().objects.iter().filter(|it| it.kind == kind).map(|it| it.name.clone()).collect()
     }
 
@@ -147,11 +147,11 @@
 
     /// The operator replaces the configuration.
     pub fn put_config(&self, spec: Value) {
-        self.put(CONFIG, "main", spec);
+        self.put_object(CONFIG, "main", spec);
     }
 
     /// Another writer leaves an object.
-    pub fn put(&self, kind: &str, name: &str, spec: Value) {
+    pub fn put_object(&self, kind: &str, name: &str, spec: Value) {
         self.lock().replace(kind, name, spec);
         self.shared.1.notify_all();
     }
@@ -159,7 +159,7 @@
     fn serve(&self, stream: TcpStream) {
         let Ok(mut writer) = stream.try_clone() else { return };
         let mut reader = BufReader::new(stream);
-        while let Ok(Some(req)) = http::read(&mut reader) {
+        while let Ok(Some(req)) = http::read_message(&mut reader) {
             let mode = {
                 let mut state = self.lock();
                 state.calls += 1;
@@ -173,12 +173,12 @@
             if answer == CUT_OFF {
                 return;
             }
-            if mode == StoreMode::LosesAnswers && !req.start.starts_with("GET") {
+            if mode == StoreMode::LosesAnswers && !req.start_line.starts_with("GET") {
                 return;
             }
             let body = answer.1.to_string();
             let era = self.lock().era.to_string();
-            let text = http::text(&format!("HTTP/1.1 {} x", answer.0), &[("Store-Era", &era)], body.as_bytes());
+            let text = http::encode(&format!("HTTP/1.1 {} x", answer.0), &[("Store-Era", &era)], body.as_bytes());
             if writer.write_all(&text).is_err() {
                 return;
             }
@@ -186,22 +186,22 @@
     }
 
     fn answer(&self, req: &Message) -> (u16, Value) {
-        let method = req.start.split(' ').next().unwrap_or("").to_owned();
-        let (path, query) = req.second().split_once('?').unwrap_or((req.second(), ""));
+        let method = req.start_line.split(' ').next().unwrap_or("").to_owned();
+        let (path, query) = req.second_word().split_once('?').unwrap_or((req.second_word(), ""));
         let path = path.trim_start_matches("/objects/");
         let (kind, name) = path.split_once('/').unwrap_or((path, ""));
         let body: Value = serde_json::from_slice(&req.body).unwrap_or(Value::Null);
-        let found = self.names(kind).iter().any(|it| it == name);
+        let found = self.object_names(kind).iter().any(|it| it == name);
         match method.as_str() {
             "GET" if query.contains("watch=") => self.watch(kind, query),
             "GET" if name.is_empty() => self.list(kind),
             "GET" if found => (200, self.object(kind, name)),
             "POST" => {
                 let name = body["metadata"]["name"].as_str().unwrap_or("").to_owned();
-                if self.names(kind).contains(&name) {
+                if self.object_names(kind).contains(&name) {
                     return (409, Value::Null);
                 }
-                self.put(kind, &name, body["spec"].clone());
+                self.put_object(kind, &name, body["spec"].clone());
                 (200, Value::Null)
             }
             "PUT" if found => {
@@ -209,7 +209,7 @@
                 if revision.is_u64() && *revision != self.object(kind, name)["metadata"]["revision"] {
                     return (409, Value::Null);
                 }
-                self.put(kind, name, body["spec"].clone());
+                self.put_object(kind, name, body["spec"].clone());
                 (200, Value::Null)
             }
             "DELETE" if found => {
--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -15,8 +15,8 @@
 
 use rstest::rstest;
 use standins::platform::{
-    desk::{WORK, call, cause, two_routes},
     endpoint::Arrival,
+    fixtures::{WORK_TIME, caller_request, explained_cause, two_routes},
     site::{Site, eventually},
 };
 
@@ -39,10 +39,10 @@
     let mut site = Site::start().expect("a store");
     site.store.put_config(two_routes(1));
     for at in 0..ENDPOINTS {
-        site.add("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK).expect("a proxy");
+        site.add_vm("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK_TIME).expect("a proxy");
     }
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
-    assert!(site.wait_for(ENDPOINTS + 1), "all proxies know all endpoints");
+    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("a proxy");
+    assert!(site.wait_until_ready(ENDPOINTS + 1), "all proxies know all endpoints");
     let target = line.split(' ').nth(1).expect("a method and a target");
     site.proxies.iter().for_each(|it| it.endpoint.crash_on(target, ENDS_AFTER, DOWN_FOR));
     site
@@ -57,7 +57,7 @@
         }
         let proxy = &site.proxies[number % site.proxies.len()];
         // Whatever it is told, it comes again.
-        _ = call(line, &format!("{name}-{number}")).answer(proxy.callers);
+        _ = caller_request(line, &format!("{name}-{number}")).send_and_read(proxy.callers);
         thread::sleep(PAUSE);
     }
 }
@@ -88,7 +88,7 @@
     let runs = runs(&site, line);
     println!("{} runs, {} of them late", runs.len(), later(&runs));
     assert!(!runs.is_empty(), "it was sent to endpoints at first");
-    let cause = cause(&site, "crash-9");
+    let cause = explained_cause(&site, "crash-9");
     assert!(cause.starts_with("It was held back: ") && cause.contains("endpoint(s) ended under requests"), "{cause}");
     assert!(later(&runs) <= MORE, "{} of {} runs came after it had to be known", later(&runs), runs.len());
 }
@@ -134,7 +134,8 @@
                         }
                         let line = format!("GET /read/{}", if number % 2 == 0 { 0 } else { number });
                         let proxy = &site.proxies[(caller + number) % site.proxies.len()];
-                        let answer = call(&line, &format!("beside-{caller}-{number}")).answer(proxy.callers);
+                        let answer =
+                            caller_request(&line, &format!("beside-{caller}-{number}")).send_and_read(proxy.callers);
                         told.push(answer.map_or(0, |it| it.status()));
                     }
                     told
--- a/standins/tests/late_configuration.rs
+++ b/standins/tests/late_configuration.rs
@@ -11,7 +11,7 @@
     deployment::repository_file,
     fleet::{Fleet, fetch_status},
     platform::{
-        desk::{WORK, two_routes},
+        fixtures::{WORK_TIME, two_routes},
         site::{Proxy, Relays, Site, eventually},
     },
     relay::{Impairment, Relay},
@@ -37,9 +37,9 @@
     let mut site = Site::start_with_relays().expect("a store");
     site.store.put_config(two_routes(1));
     for at in 0..proxies {
-        site.add("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK).expect("a proxy");
+        site.add_vm("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK_TIME).expect("a proxy");
     }
-    assert!(site.wait_for(proxies), "not all proxies list all endpoints");
+    assert!(site.wait_until_ready(proxies), "not all proxies list all endpoints");
     site
 }
 
--- a/standins/tests/many_proxies.rs
+++ b/standins/tests/many_proxies.rs
@@ -3,7 +3,7 @@
 use std::{sync::OnceLock, thread, time::Duration};
 
 use standins::platform::{
-    desk::{WORK, call, two_routes},
+    fixtures::{WORK_TIME, caller_request, two_routes},
     site::{Proxy, Site, config, eventually, route},
 };
 
@@ -21,9 +21,9 @@
     let mut site = Site::start().expect("a store");
     site.store.put_config(two_routes(1));
     for at in 0..PROXIES {
-        site.add("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK).expect("a proxy");
+        site.add_vm("desk", if at % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK_TIME).expect("a proxy");
     }
-    assert!(site.wait_for(PROXIES), "all proxies know all endpoints");
+    assert!(site.wait_until_ready(PROXIES), "all proxies know all endpoints");
     (site, alone)
 }
 
@@ -43,11 +43,11 @@
     // What links and watches the start took more of is given up within seconds.
     let few = eventually(|| site.proxies.iter().all(|it| (8..=MOST_LINKS).contains(&links(it))));
     thread::sleep(SETTLED);
-    let before = site.store.calls();
+    let before = site.store.request_count();
 
     site.store.put_config(config(7, &[("read", route("/read/", "idempotent", 2, &[("desk", 1)]))]));
     let in_force = eventually(|| site.proxies.iter().all(|it| has_version(it, 7)));
-    let asked = site.store.calls() - before;
+    let asked = site.store.request_count() - before;
 
     assert!(few, "{:?}", site.proxies.iter().map(links).collect::<Vec<_>>());
     assert!(in_force);
@@ -67,7 +67,9 @@
     assert!(eventually(|| living().all(|it| has_version(it, 7))));
     let statuses: Vec<u16> = living()
         .enumerate()
-        .map(|(at, it)| call("GET /read/x", &format!("r-{at}")).answer(it.callers).map_or(0, |it| it.status()))
+        .map(|(at, it)| {
+            caller_request("GET /read/x", &format!("r-{at}")).send_and_read(it.callers).map_or(0, |it| it.status())
+        })
         .collect();
     assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
 }
@@ -77,12 +79,12 @@
     let (mut site, _alone) = fleet();
     // The others list each other once more a second or two after their start.
     thread::sleep(SETTLED);
-    let before = site.store.calls();
+    let before = site.store.request_count();
 
     site.proxies[3].restart().expect("a process");
     let ready = eventually(|| site.proxies[3].is_ready());
-    let answer = call("GET /read/x", "r-1").answer(site.proxies[3].callers).expect("an answer");
-    let asked = site.store.calls() - before;
+    let answer = caller_request("GET /read/x", "r-1").send_and_read(site.proxies[3].callers).expect("an answer");
+    let asked = site.store.request_count() - before;
 
     assert!(ready, "{answer:?}");
     assert_eq!(answer.status(), 200, "{answer:?} {:?}", site.proxies[3].events());
--- a/standins/tests/other_writers.rs
+++ b/standins/tests/other_writers.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standins::platform::{
-    caller::Call,
+    caller::CallerRequest,
     endpoint::Endpoint,
     site::{HOST, Proxy, Site, config, eventually, route},
 };
@@ -16,15 +16,16 @@
 fn site() -> Site {
     let mut site = Site::start().expect("a store");
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
-    assert!(site.wait_for(2), "all proxies know all endpoints");
+    site.add_vm("desk", "dc-1", 2, WORK).expect("a proxy");
+    site.add_vm("ledger", "dc-1", 2, WORK).expect("a proxy");
+    assert!(site.wait_until_ready(2), "all proxies know all endpoints");
     site
 }
 
 fn ask(site: &Site, request: &str) -> u16 {
-    let call = Call { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
-    call.answer(site.proxies[1].callers).map_or(0, |it| it.status())
+    let call =
+        CallerRequest { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
+    call.send_and_read(site.proxies[1].callers).map_or(0, |it| it.status())
 }
 
 fn born(proxy: &Proxy) -> Value {
@@ -40,7 +41,7 @@
     // Its announcements go on, with a sequence that begins anew.
     proxy.endpoint.restart();
 
-    assert!(eventually(|| born(proxy) == json!(proxy.endpoint.life().1)), "{before} is still known");
+    assert!(eventually(|| born(proxy) == json!(proxy.endpoint.incarnation().1)), "{before} is still known");
     assert_eq!(ask(&site, "r-1"), 200);
 }
 
@@ -48,7 +49,7 @@
 fn an_endpoint_that_left_may_come_back_under_its_id() {
     let site = site();
     let proxy = &site.proxies[0];
-    proxy.silence_endpoint();
+    proxy.stop_announcements();
     proxy.endpoint.announce(proxy.announcements, true).expect("an acknowledgement");
     assert_eq!(ask(&site, "r-1"), 503);
 
@@ -62,8 +63,8 @@
 fn late_words_of_the_life_before_neither_end_the_next_nor_come_back() {
     let site = site();
     let proxy = &site.proxies[0];
-    proxy.silence_endpoint();
-    let earlier = proxy.endpoint.life();
+    proxy.stop_announcements();
+    let earlier = proxy.endpoint.incarnation();
     proxy.endpoint.restart();
     proxy.endpoint.announce(proxy.announcements, false).expect("an acknowledgement");
 
@@ -109,13 +110,13 @@
         ("d", json!({"name": "vm-1", "peers": "192.0.2.7:7101"})),
         ("zz", json!([1, "\u{fffd}"])),
     ] {
-        site.store.put("jayreach-proxies", name, spec);
+        site.store.put_object("jayreach-proxies", name, spec);
     }
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("a proxy");
-    site.add("ledger", "dc-1", 2, WORK).expect("a proxy");
+    site.add_vm("desk", "dc-1", 2, WORK).expect("a proxy");
+    site.add_vm("ledger", "dc-1", 2, WORK).expect("a proxy");
 
-    assert!(site.wait_for(2), "all proxies know all endpoints");
+    assert!(site.wait_until_ready(2), "all proxies know all endpoints");
     assert_eq!(ask(&site, "r-1"), 200);
 }
 
@@ -126,8 +127,8 @@
     let write = route("/write/", "some_new_kind", 0, &[("desk", 1)]);
     site.store.put_config(config(2, &[("odd", odd), ("write", write)]));
 
-    let call = Call { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
-    assert!(eventually(|| call.answer(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
+    let call = CallerRequest { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
+    assert!(eventually(|| call.send_and_read(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
     thread::sleep(WORK);
 
     assert_eq!(ask(&site, "r-2"), 200);
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -11,7 +11,7 @@
 };
 use serde_json::json;
 use standins::platform::{
-    desk::{self, ask, call},
+    fixtures::{self, caller_request, send_to_ledger_proxy},
     site::{HOST, eventually},
     store,
 };
@@ -68,26 +68,26 @@
 /// Whatever brought it there, the way out is its first trial.
 #[test]
 fn a_request_that_is_held_back_and_ends_nothing_is_free_after_its_first_trial() {
-    let mut site = desk::site();
+    let mut site = fixtures::start_site();
     let object = held("/read/page");
     let name = object.fingerprint.to_string();
-    site.store.put(KIND, &name, json!(object));
+    site.store.put_object(KIND, &name, json!(object));
     site.proxies.iter_mut().for_each(|it| it.restart().expect("a proxy starts"));
-    assert!(site.wait_for(3));
-    assert!(eventually(|| ask(&site, "GET /read/page", "early").status() == 503), "it is held back");
+    assert!(site.wait_until_ready(3));
+    assert!(eventually(|| send_to_ledger_proxy(&site, "GET /read/page", "early").status() == 503), "it is held back");
     let start = Instant::now();
 
     let mut told = Vec::new();
     while start.elapsed() < Duration::from_secs(40) && !told.contains(&200) {
-        told.push(ask(&site, "GET /read/page", &format!("r-{}", told.len())).status());
+        told.push(send_to_ledger_proxy(&site, "GET /read/page", &format!("r-{}", told.len())).status());
         thread::sleep(Duration::from_millis(500));
     }
 
     assert_eq!(told.last(), Some(&200), "after {:?}: {told:?}", start.elapsed());
-    assert!(eventually(|| site.store.names(KIND).is_empty()), "the store is told, too");
+    assert!(eventually(|| site.store.object_names(KIND).is_empty()), "the store is told, too");
     let everywhere = site.proxies.iter().enumerate().all(|(at, it)| {
         eventually(|| {
-            let answer = call("GET /read/page", &format!("after-{at}")).answer(it.callers);
+            let answer = caller_request("GET /read/page", &format!("after-{at}")).send_and_read(it.callers);
             answer.is_ok_and(|it| it.status() == 200)
         })
     });
--- a/standins/tests/restored_store.rs
+++ b/standins/tests/restored_store.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use standins::platform::{
-    desk::{self, two_routes},
+    fixtures::{self, two_routes},
     site::{Site, eventually},
 };
 
@@ -17,15 +17,15 @@
 const OTHERS: u32 = 40;
 
 fn names(site: &Site, kind: &str) -> usize {
-    site.store.names(kind).len()
+    site.store.object_names(kind).len()
 }
 
 #[test]
 fn a_change_among_revisions_that_are_given_out_again_is_in_force_in_time() {
-    let site = desk::site();
+    let site = fixtures::start_site();
     assert!(eventually(|| site.proxies.iter().all(|it| it.status()["watching"] == true)));
     site.store.back_up();
-    (0..5).for_each(|it| site.store.put("another-s", "y", json!(it)));
+    (0..5).for_each(|it| site.store.put_object("another-s", "y", json!(it)));
     site.store.put_config(two_routes(2));
     let has = |version: u32| site.proxies.iter().all(|it| it.status()["row"]["version"] == version);
     assert!(eventually(|| has(2)));
@@ -43,14 +43,14 @@
     site.store.put_config(two_routes(1));
     site.store.back_up();
     for data_centre in ["dc-1", "dc-2", "dc-1"] {
-        site.add("desk", data_centre, 2, desk::WORK).expect("a proxy");
+        site.add_vm("desk", data_centre, 2, fixtures::WORK_TIME).expect("a proxy");
     }
-    assert!(site.wait_for(3));
+    assert!(site.wait_until_ready(3));
     assert!(eventually(|| names(&site, "jayreach-proxies") == 3));
     site.proxies.iter().for_each(|it| {
         it.endpoint.crash_on("/read/crash", Duration::from_millis(20), Duration::from_millis(300));
     });
-    _ = desk::ask(&site, "GET /read/crash", "crash");
+    _ = fixtures::send_to_ledger_proxy(&site, "GET /read/crash", "crash");
     assert!(eventually(|| names(&site, "jayreach-quarantine") == 1));
 
     site.store.restore(None, OTHERS);
