--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -210,8 +210,8 @@
             for seed in seed..seed + count {
                 let options = platform::soak::SoakOptions { seed, duration, proxies, crashing, restoring, verbose };
                 let verdict = platform::soak::run(&options)?;
-                println!("seed {seed}: {}: {verdict}", if verdict.holds() { "kept" } else { "BROKEN" });
-                passed &= verdict.holds();
+                println!("seed {seed}: {}: {verdict}", if verdict.passed() { "kept" } else { "BROKEN" });
+                passed &= verdict.passed();
             }
             Ok(passed)
         }
--- a/standins/src/platform/soak/mod.rs
+++ b/standins/src/platform/soak/mod.rs
@@ -19,7 +19,7 @@
 
 use serde_json::Value;
 
-pub use self::promises::Verdict;
+pub use self::promises::ProxySoakReport;
 use self::{
     callers::Caller,
     faults::{Played, Stage},
@@ -62,7 +62,7 @@
 }
 
 /// Runs a soak.
-pub fn run(options: &SoakOptions) -> io::Result<Verdict> {
+pub fn run(options: &SoakOptions) -> io::Result<ProxySoakReport> {
     let mut site = Site::start_with_relays()?;
     site.store.put_config(configuration(1));
     for at in 0..options.proxies {
--- a/standins/src/platform/soak/promises.rs
+++ b/standins/src/platform/soak/promises.rs
@@ -39,7 +39,7 @@
 
 /// What the check found. All but the first three must be zero.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct ProxySoakReport {
     /// Requests.
     pub requests: usize,
     /// Those with an endpoint's good answer.
@@ -74,9 +74,9 @@
     pub examples: Vec<Box<str>>,
 }
 
-impl Verdict {
+impl ProxySoakReport {
     /// Whether every promise was kept.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         let broken = self.twice
             + self.refused_but_ran
             + self.mixed
@@ -98,7 +98,7 @@
     }
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for ProxySoakReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -125,14 +125,14 @@
 }
 
 /// Checks the promises.
-pub(super) fn judge(mut seen: Seen) -> Verdict {
+pub(super) fn judge(mut seen: Seen) -> ProxySoakReport {
     seen.records.sort_by(|a, b| a.request.cmp(&b.request));
-    let mut verdict = Verdict {
+    let mut verdict = ProxySoakReport {
         requests: seen.records.len(),
         reverts: seen.reverts,
         crashes: seen.crashes,
         scattered: !seen.converged,
-        ..Verdict::default()
+        ..ProxySoakReport::default()
     };
     check_arrivals(&seen, &mut verdict);
     verdict.late_ends = crashing::late_runs(&seen.arrivals, &seen.records, &seen.troubled);
@@ -146,7 +146,7 @@
     verdict
 }
 
-fn check_record(record: &Record, ran: usize, disturbed: &[Disturbed], verdict: &mut Verdict) {
+fn check_record(record: &Record, ran: usize, disturbed: &[Disturbed], verdict: &mut ProxySoakReport) {
     if !record.idempotent && ran > 1 {
         verdict.twice += 1;
         verdict.note("ran twice", &(record, ran));
@@ -184,7 +184,7 @@
     }
 }
 
-fn check_arrivals(seen: &Seen, verdict: &mut Verdict) {
+fn check_arrivals(seen: &Seen, verdict: &mut ProxySoakReport) {
     for (proxy, arrivals) in seen.arrivals.iter().enumerate() {
         for arrival in arrivals.iter().filter(|it| it.ran) {
             let asked = seen.records.binary_search_by(|it| it.request.cmp(&arrival.request));
--- a/standins/src/platform/soak/promises/tests.rs
+++ b/standins/src/platform/soak/promises/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Disturbed, Left, Outcome, Record, Seen, Troubled, Verdict, crashing, judge};
+use super::{Disturbed, Left, Outcome, ProxySoakReport, Record, Seen, Troubled, crashing, judge};
 use crate::platform::endpoint::Arrival;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -49,12 +49,12 @@
 
     let verdict = judge(seen(told(200, true), vec![arrival(start)], start));
 
-    assert!(verdict.holds(), "{verdict}");
+    assert!(verdict.passed(), "{verdict}");
     assert_eq!((verdict.requests, verdict.served), (1, 1));
 }
 
 /// How often a promise was broken.
-type Count = fn(&Verdict) -> usize;
+type Count = fn(&ProxySoakReport) -> usize;
 
 #[test]
 fn each_broken_promise_is_found() {
@@ -81,7 +81,7 @@
     for (at, (seen, count)) in cases.into_iter().enumerate() {
         let verdict = judge(seen);
         assert_eq!(count(&verdict), 1, "case {at}: {verdict}");
-        assert!(!verdict.holds(), "case {at}: {verdict}");
+        assert!(!verdict.passed(), "case {at}: {verdict}");
     }
 }
 
--- a/standins/tests/proxy_soak.rs
+++ b/standins/tests/proxy_soak.rs
@@ -25,5 +25,5 @@
 
     let verdict = soak::run(&options).expect("the fleet starts");
 
-    assert!(verdict.holds(), "{verdict}");
+    assert!(verdict.passed(), "{verdict}");
 }
