--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -10,8 +10,8 @@
 
 use rstest::rstest;
 use standins::platform::{
-    desk::{WORK, call, cause, two_routes},
     endpoint::Arrival,
+    fixtures::{WORK_TIME, caller_request, explained_cause, two_routes},
     site::{Site, eventually},
 };
 
@@ -35,10 +35,10 @@
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
     for i in 0..ENDPOINTS {
-        site.add("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK).expect("the proxy starts");
+        site.add_vm("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 4, WORK_TIME).expect("the proxy starts");
     }
-    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
-    assert!(site.wait_for(ENDPOINTS + 1), "a proxy has not learnt of all endpoints");
+    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("the proxy starts");
+    assert!(site.wait_until_ready(ENDPOINTS + 1), "a proxy has not learnt of all endpoints");
     let target = line.split(' ').nth(1).expect("a method and a target");
     site.proxies.iter().for_each(|it| it.endpoint.crash_on(target, CRASH_DELAY, RESTART_DELAY));
     site
@@ -53,7 +53,7 @@
         }
         let proxy = &site.proxies[number % site.proxies.len()];
         // The request is sent again after any response.
-        _ = call(line, &format!("{id_prefix}-{number}")).answer(proxy.callers);
+        _ = caller_request(line, &format!("{id_prefix}-{number}")).send_and_read(proxy.callers);
         thread::sleep(PAUSE);
     }
 }
@@ -84,7 +84,7 @@
     let starts = run_starts(&site, line);
     println!("{} runs, {} of them late", starts.len(), count_late_runs(&starts));
     assert!(!starts.is_empty(), "the request never ran");
-    let cause = cause(&site, "crash-9");
+    let cause = explained_cause(&site, "crash-9");
     assert!(cause.starts_with("It was held back: ") && cause.contains("endpoint(s) ended under requests"), "{cause}");
     assert!(
         count_late_runs(&starts) <= MAX_LATE_RUNS,
@@ -138,7 +138,8 @@
                         }
                         let line = format!("GET /read/{}", if number % 2 == 0 { 0 } else { number });
                         let proxy = &site.proxies[(caller + number) % site.proxies.len()];
-                        let response = call(&line, &format!("beside-{caller}-{number}")).answer(proxy.callers);
+                        let response =
+                            caller_request(&line, &format!("beside-{caller}-{number}")).send_and_read(proxy.callers);
                         statuses.push(response.map_or(0, |it| it.status()));
                     }
                     statuses
--- a/standins/tests/many_proxies.rs
+++ b/standins/tests/many_proxies.rs
@@ -3,7 +3,7 @@
 use std::{sync::OnceLock, thread, time::Duration};
 
 use standins::platform::{
-    desk::{WORK, call, two_routes},
+    fixtures::{WORK_TIME, caller_request, two_routes},
     site::{Proxy, Site, config, eventually, route},
 };
 
@@ -23,9 +23,9 @@
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
     for i in 0..PROXIES {
-        site.add("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK).expect("the proxy starts");
+        site.add_vm("desk", if i % 2 == 0 { "dc-1" } else { "dc-2" }, 2, WORK_TIME).expect("the proxy starts");
     }
-    assert!(site.wait_for(PROXIES), "a proxy has not learnt of all endpoints");
+    assert!(site.wait_until_ready(PROXIES), "a proxy has not learnt of all endpoints");
     (site, fleet_guard)
 }
 
@@ -45,11 +45,11 @@
     // Proxies close the additional links and watches of the start within seconds.
     let few_links = eventually(|| site.proxies.iter().all(|it| (8..=MAX_LINKS).contains(&link_count(it))));
     thread::sleep(STARTUP_TIME);
-    let calls_before = site.store.calls();
+    let calls_before = site.store.request_count();
 
     site.store.put_config(config(7, &[("read", route("/read/", "idempotent", 2, &[("desk", 1)]))]));
     let activated = eventually(|| site.proxies.iter().all(|it| has_version(it, 7)));
-    let calls = site.store.calls() - calls_before;
+    let calls = site.store.request_count() - calls_before;
 
     assert!(few_links, "{:?}", site.proxies.iter().map(link_count).collect::<Vec<_>>());
     assert!(activated);
@@ -69,7 +69,9 @@
     assert!(eventually(|| living().all(|it| has_version(it, 7))));
     let statuses: Vec<u16> = living()
         .enumerate()
-        .map(|(i, it)| call("GET /read/x", &format!("r-{i}")).answer(it.callers).map_or(0, |it| it.status()))
+        .map(|(i, it)| {
+            caller_request("GET /read/x", &format!("r-{i}")).send_and_read(it.callers).map_or(0, |it| it.status())
+        })
         .collect();
     assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
 }
@@ -79,12 +81,12 @@
     let (mut site, _fleet_guard) = start_fleet();
     // Proxies list the presence objects once more a second or two after their start.
     thread::sleep(STARTUP_TIME);
-    let calls_before = site.store.calls();
+    let calls_before = site.store.request_count();
 
     site.proxies[3].restart().expect("the proxy starts");
     let ready = eventually(|| site.proxies[3].is_ready());
-    let response = call("GET /read/x", "r-1").answer(site.proxies[3].callers).expect("a response");
-    let calls = site.store.calls() - calls_before;
+    let response = caller_request("GET /read/x", "r-1").send_and_read(site.proxies[3].callers).expect("a response");
+    let calls = site.store.request_count() - calls_before;
 
     assert!(ready, "{response:?}");
     assert_eq!(response.status(), 200, "{response:?} {:?}", site.proxies[3].events());
--- a/standins/tests/other_writers.rs
+++ b/standins/tests/other_writers.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use standins::platform::{
-    caller::Call,
+    caller::CallerRequest,
     endpoint::Endpoint,
     site::{HOST, Proxy, Site, config, eventually, route},
 };
@@ -16,15 +16,16 @@
 fn start_site() -> Site {
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
-    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
-    assert!(site.wait_for(2), "a proxy has not learnt of all endpoints");
+    site.add_vm("desk", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add_vm("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    assert!(site.wait_until_ready(2), "a proxy has not learnt of all endpoints");
     site
 }
 
 fn send_write(site: &Site, request: &str) -> u16 {
-    let call = Call { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
-    call.answer(site.proxies[1].callers).map_or(0, |it| it.status())
+    let call =
+        CallerRequest { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
+    call.send_and_read(site.proxies[1].callers).map_or(0, |it| it.status())
 }
 
 fn known_start_time(proxy: &Proxy) -> Value {
@@ -41,7 +42,7 @@
     proxy.endpoint.restart();
 
     assert!(
-        eventually(|| known_start_time(proxy) == json!(proxy.endpoint.life().1)),
+        eventually(|| known_start_time(proxy) == json!(proxy.endpoint.incarnation().1)),
         "the proxy still has the start time {old_start_time}"
     );
     assert_eq!(send_write(&site, "r-1"), 200);
@@ -51,7 +52,7 @@
 fn a_drained_endpoint_may_return_under_its_id() {
     let site = start_site();
     let proxy = &site.proxies[0];
-    proxy.silence_endpoint();
+    proxy.stop_announcements();
     proxy.endpoint.announce(proxy.announcements, true).expect("the announcement is acknowledged");
     assert_eq!(send_write(&site, "r-1"), 503);
 
@@ -65,8 +66,8 @@
 fn stale_announcements_neither_drain_nor_revive_an_endpoint() {
     let site = start_site();
     let proxy = &site.proxies[0];
-    proxy.silence_endpoint();
-    let earlier = proxy.endpoint.life();
+    proxy.stop_announcements();
+    let earlier = proxy.endpoint.incarnation();
     proxy.endpoint.restart();
     proxy.endpoint.announce(proxy.announcements, false).expect("the announcement is acknowledged");
 
@@ -118,13 +119,13 @@
         ("d", json!({"name": "vm-1", "peers": "192.0.2.7:7101"})),
         ("zz", json!([1, "\u{fffd}"])),
     ] {
-        site.store.put("jayreach-proxies", name, spec);
+        site.store.put_object("jayreach-proxies", name, spec);
     }
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add("desk", "dc-1", 2, WORK).expect("the proxy starts");
-    site.add("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add_vm("desk", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add_vm("ledger", "dc-1", 2, WORK).expect("the proxy starts");
 
-    assert!(site.wait_for(2), "a proxy has not learnt of all endpoints");
+    assert!(site.wait_until_ready(2), "a proxy has not learnt of all endpoints");
     assert_eq!(send_write(&site, "r-1"), 200);
 }
 
@@ -135,8 +136,8 @@
     let write = route("/write/", "some_new_kind", 0, &[("desk", 1)]);
     site.store.put_config(config(2, &[("odd", invalid), ("write", write)]));
 
-    let call = Call { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
-    assert!(eventually(|| call.answer(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
+    let call = CallerRequest { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
+    assert!(eventually(|| call.send_and_read(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
     thread::sleep(WORK);
 
     assert_eq!(send_write(&site, "r-2"), 200);
--- a/standins/tests/proxy_soak.rs
+++ b/standins/tests/proxy_soak.rs
@@ -25,5 +25,5 @@
 
     let report = soak::run(&options).expect("the fleet starts");
 
-    assert!(report.holds(), "{report}");
+    assert!(report.passed(), "{report}");
 }
--- a/standins/tests/quarantine.rs
+++ b/standins/tests/quarantine.rs
@@ -11,7 +11,7 @@
 };
 use serde_json::json;
 use standins::platform::{
-    desk::{self, ask, call},
+    fixtures::{self, caller_request, send_to_ledger_proxy},
     site::{HOST, eventually},
     store,
 };
@@ -67,26 +67,29 @@
 
 #[test]
 fn a_harmless_quarantined_request_is_released_everywhere() {
-    let mut site = desk::site();
+    let mut site = fixtures::start_site();
     let object = quarantined_read("/read/page");
     let name = object.fingerprint.to_string();
-    site.store.put(KIND, &name, json!(object));
+    site.store.put_object(KIND, &name, json!(object));
     site.proxies.iter_mut().for_each(|it| it.restart().expect("the proxy starts"));
-    assert!(site.wait_for(3));
-    assert!(eventually(|| ask(&site, "GET /read/page", "early").status() == 503), "the request is not quarantined");
+    assert!(site.wait_until_ready(3));
+    assert!(
+        eventually(|| send_to_ledger_proxy(&site, "GET /read/page", "early").status() == 503),
+        "the request is not quarantined"
+    );
     let start = Instant::now();
 
     let mut statuses = Vec::new();
     while start.elapsed() < Duration::from_secs(40) && !statuses.contains(&200) {
-        statuses.push(ask(&site, "GET /read/page", &format!("r-{}", statuses.len())).status());
+        statuses.push(send_to_ledger_proxy(&site, "GET /read/page", &format!("r-{}", statuses.len())).status());
         thread::sleep(Duration::from_millis(500));
     }
 
     assert_eq!(statuses.last(), Some(&200), "after {:?}: {statuses:?}", start.elapsed());
-    assert!(eventually(|| site.store.names(KIND).is_empty()), "the object is still in the store");
+    assert!(eventually(|| site.store.object_names(KIND).is_empty()), "the object is still in the store");
     let released = site.proxies.iter().enumerate().all(|(i, it)| {
         eventually(|| {
-            let response = call("GET /read/page", &format!("after-{i}")).answer(it.callers);
+            let response = caller_request("GET /read/page", &format!("after-{i}")).send_and_read(it.callers);
             response.is_ok_and(|it| it.status() == 200)
         })
     });
