--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -19,7 +19,7 @@
 const CRASHES_BEFORE_QUARANTINE: usize = 3;
 /// Time after the last of these crashes within which all proxies must quarantine the request.
 const QUARANTINE_DELAY: Duration = Duration::from_secs(3);
-/// Runs that are allowed after that.
+/// Runs that may begin after that.
 const MAX_LATE_RUNS: usize = 3;
 /// Time from the start of the request at an endpoint to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
@@ -31,6 +31,7 @@
 const SEND_DURATION: Duration = Duration::from_secs(9);
 const ENDPOINTS: usize = 6;
 
+/// Starts six endpoints of `desk`, which the request crashes, and one of `ledger`, each with its proxy.
 fn start_site(line: &str) -> Site {
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
--- a/standins/tests/many_proxies.rs
+++ b/standins/tests/many_proxies.rs
@@ -62,12 +62,12 @@
     for proxy in site.proxies.iter_mut().step_by(2) {
         proxy.kill();
     }
-    let living = || site.proxies.iter().skip(1).step_by(2);
+    let survivors = || site.proxies.iter().skip(1).step_by(2);
 
     site.store.put_config(config(7, &[("read", route("/read/", "idempotent", 2, &[("desk", 1)]))]));
 
-    assert!(eventually(|| living().all(|it| has_version(it, 7))));
-    let statuses: Vec<u16> = living()
+    assert!(eventually(|| survivors().all(|it| has_version(it, 7))));
+    let statuses: Vec<u16> = survivors()
         .enumerate()
         .map(|(i, it)| {
             caller_request("GET /read/x", &format!("r-{i}")).send_and_read(it.callers).map_or(0, |it| it.status())
--- a/standins/tests/other_writers.rs
+++ b/standins/tests/other_writers.rs
@@ -10,22 +10,21 @@
     site::{HOST, Proxy, Site, config, eventually, route},
 };
 
-const WORK: Duration = Duration::from_millis(20);
+const WORK_TIME: Duration = Duration::from_millis(20);
 
 /// Starts one endpoint of `desk` and one of `ledger`, each with its proxy; callers use the proxy of `ledger`.
 fn start_site() -> Site {
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add_vm("desk", "dc-1", 2, WORK).expect("the proxy starts");
-    site.add_vm("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add_vm("desk", "dc-1", 2, WORK_TIME).expect("the proxy starts");
+    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("the proxy starts");
     assert!(site.wait_until_ready(2), "a proxy has not learnt of all endpoints");
     site
 }
 
 fn send_write(site: &Site, request: &str) -> u16 {
-    let call =
-        CallerRequest { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
-    call.send_and_read(site.proxies[1].callers).map_or(0, |it| it.status())
+    let req = CallerRequest { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
+    req.send_and_read(site.proxies[1].callers).map_or(0, |it| it.status())
 }
 
 fn known_start_time(proxy: &Proxy) -> Value {
@@ -38,7 +37,7 @@
     let proxy = &site.proxies[0];
     let old_start_time = known_start_time(proxy);
 
-    // The endpoint keeps announcing itself, with sequence numbers from 1 again.
+    // The endpoint keeps sending heartbeats, with sequence numbers from 1 again.
     proxy.endpoint.restart();
 
     assert!(
@@ -122,8 +121,8 @@
         site.store.put_object("jayreach-proxies", name, spec);
     }
     site.store.put_config(config(1, &[("write", route("/write/", "non_idempotent", 0, &[("desk", 1)]))]));
-    site.add_vm("desk", "dc-1", 2, WORK).expect("the proxy starts");
-    site.add_vm("ledger", "dc-1", 2, WORK).expect("the proxy starts");
+    site.add_vm("desk", "dc-1", 2, WORK_TIME).expect("the proxy starts");
+    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("the proxy starts");
 
     assert!(site.wait_until_ready(2), "a proxy has not learnt of all endpoints");
     assert_eq!(send_write(&site, "r-1"), 200);
@@ -136,9 +135,9 @@
     let write = route("/write/", "some_new_kind", 0, &[("desk", 1)]);
     site.store.put_config(config(2, &[("odd", invalid), ("write", write)]));
 
-    let call = CallerRequest { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK * 100, body: b"" };
-    assert!(eventually(|| call.send_and_read(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
-    thread::sleep(WORK);
+    let req = CallerRequest { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK_TIME * 100, body: b"" };
+    assert!(eventually(|| req.send_and_read(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
+    thread::sleep(WORK_TIME);
 
     assert_eq!(send_write(&site, "r-2"), 200);
     let is_reported = |it: &Value| it["event"] == "config-refused" && it["place"] == "routes.odd";
--- a/standins/tests/signals.rs
+++ b/standins/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals sent to a proxy that is still starting. Without an early handler, the default action of SIGHUP would kill the
-//! process.
+//! Signals sent to a proxy that is still starting. Without an early handler, SIGHUP would kill the process by its
+//! default action.
 
 use std::{
     io::Write as _,
