--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one request, one answer.
+//! A caller that sends one request over a connection of its own and reads the response.
 
 use std::{
     io::{self, BufReader, Write as _},
@@ -8,23 +8,23 @@
 
 use crate::platform::http::{self, Message};
 
-/// A request of a caller.
+/// A caller's HTTP request.
 #[derive(Debug, Clone)]
 pub struct CallerRequest<'a> {
-    /// Method and target.
+    /// Method and target, separated by a space.
     pub line: &'a str,
-    /// The host.
+    /// Value of `Host`.
     pub host: &'a str,
-    /// The attempt's id; left out if empty.
+    /// Value of `X-Request-Id`; the header is left out if this is empty.
     pub request: &'a str,
-    /// How long it waits.
+    /// Value of `X-Deadline-Ms`; the caller itself reads for five seconds longer.
     pub deadline: Duration,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl CallerRequest<'_> {
-    /// The request's text.
+    /// Encodes the request. It carries a forged `X-Caller-Service`, which the proxy has to replace.
     pub fn encode(&self) -> Vec<u8> {
         let deadline = self.deadline.as_millis().to_string();
         let mut headers = vec![("Host", self.host), ("X-Deadline-Ms", &deadline), ("X-Caller-Service", "forged")];
@@ -34,7 +34,7 @@
         http::encode(&format!("{} HTTP/1.1", self.line), &headers, self.body)
     }
 
-    /// Opens a connection and sends the request.
+    /// Opens a connection and sends the request; the response can be read from the returned stream.
     pub fn send(&self, proxy: SocketAddr) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(proxy)?;
         stream.set_read_timeout(Some(self.deadline + Duration::from_secs(5)))?;
@@ -42,7 +42,7 @@
         Ok(stream)
     }
 
-    /// Sends the request and reads its answer.
+    /// Sends the request and reads the response. Fails with `UnexpectedEof` if the connection ends before one.
     pub fn send_and_read(&self, proxy: SocketAddr) -> io::Result<Message> {
         let stream = self.send(proxy)?;
         http::read_message(&mut BufReader::new(stream))?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
--- a/standins/src/platform/fixtures.rs
+++ b/standins/src/platform/fixtures.rs
@@ -1,4 +1,5 @@
-//! Fixtures of tests: a deployment with two endpoints of `desk` and one of `ledger`, and callers beside the latter.
+//! Fixtures of tests: a deployment with two endpoints of service `desk` and one of `ledger`. Callers connect to the
+//! proxy of the latter, so each of their requests goes through two proxies.
 
 use std::{fs, time::Duration};
 
@@ -12,66 +13,66 @@
     site::{HOST, Site, config, eventually, route},
 };
 
-/// How long a piece of work takes.
+/// Time that an endpoint works on a request.
 pub const WORK_TIME: Duration = Duration::from_millis(40);
 
-/// Two endpoints of `desk` and one of `ledger`, a route for reads and one for writes.
+/// Starts two endpoints of `desk` and one of `ledger`, configured with [`two_routes`], and waits until all are known.
 pub fn start_site() -> Site {
-    let mut site = Site::start().expect("a store");
+    let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
-    site.add_vm("desk", "dc-1", 2, WORK_TIME).expect("a proxy");
-    site.add_vm("desk", "dc-2", 2, WORK_TIME).expect("a proxy");
-    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("a proxy");
-    assert!(site.wait_until_ready(3), "all proxies know all endpoints");
+    site.add_vm("desk", "dc-1", 2, WORK_TIME).expect("the proxy starts");
+    site.add_vm("desk", "dc-2", 2, WORK_TIME).expect("the proxy starts");
+    site.add_vm("ledger", "dc-1", 2, WORK_TIME).expect("the proxy starts");
+    assert!(site.wait_until_ready(3), "not every proxy lists all three endpoints");
     site
 }
 
-/// A route for reads and one for writes, both to `desk`.
+/// A configuration with an idempotent route `/read/` and a non-idempotent route `/write/`, both to `desk`.
 pub fn two_routes(version: u32) -> Value {
     let read = route("/read/", "idempotent", 2, &[("desk", 1)]);
     let write = route("/write/", "non_idempotent", 0, &[("desk", 1)]);
     config(version, &[("read", read), ("write", write)])
 }
 
-/// A request that waits for four seconds.
+/// A request without a body and with a deadline of four seconds.
 pub fn caller_request<'a>(line: &'a str, request: &'a str) -> CallerRequest<'a> {
     CallerRequest { line, host: HOST, request, deadline: Duration::from_secs(4), body: b"" }
 }
 
-/// Asks the third proxy, beside which no endpoint of the service stands.
+/// Sends a request through the third proxy, whose own endpoint belongs to `ledger`; panics if no response comes.
 pub fn send_to_ledger_proxy(site: &Site, line: &str, request: &str) -> Message {
-    caller_request(line, request).send_and_read(site.proxies[2].callers).expect("an answer")
+    caller_request(line, request).send_and_read(site.proxies[2].callers).expect("the proxy responds")
 }
 
-/// The endpoints of `desk`.
+/// The two endpoints of `desk`.
 pub fn desk_endpoints(site: &Site) -> Vec<Endpoint> {
     site.proxies[..2].iter().map(|it| it.endpoint.clone()).collect()
 }
 
-/// Where a request arrived.
+/// Arrivals of a request at the endpoints of `desk`.
 pub fn arrivals_of(site: &Site, request: &str) -> Vec<Arrival> {
     desk_endpoints(site).iter().flat_map(Endpoint::arrivals).filter(|it| it.request == request).collect()
 }
 
-/// How often a request ran.
+/// Number of runs of a request at the endpoints of `desk`.
 pub fn run_count(site: &Site, request: &str) -> usize {
     arrivals_of(site, request).iter().filter(|it| it.ran).count()
 }
 
-/// Makes both endpoints of `desk` behave so.
+/// Sets the mode of both endpoints of `desk`.
 pub fn set_modes(site: &Site, mode: EndpointMode) {
     for it in desk_endpoints(site) {
         it.set_mode(mode);
     }
 }
 
-/// The cause that the proxies' event lines give for a request, once they tell its end.
+/// Waits until the proxies' event lines say how a request ended, and returns the cause that `explain` finds in them.
 pub fn explained_cause(site: &Site, request: &str) -> String {
-    let explain = || {
+    let explain_cause = || {
         let texts = site.proxies.iter().map(|it| fs::read_to_string(it.log_path()).unwrap_or_default());
         let lines: Vec<Line> = texts.flat_map(|it| it.lines().filter_map(Line::parse).collect::<Vec<_>>()).collect();
         explain(&lines, &Subject::Request(request.into())).cause
     };
-    eventually(|| !explain().starts_with("No line"));
-    explain()
+    eventually(|| !explain_cause().starts_with("No line"));
+    explain_cause()
 }
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that speak the users' platform's form: its store, its endpoints and its callers, with
-//! real proxies as separate processes between them.
+//! Stand-ins for the users' platform: its metadata store, endpoints and callers. The proxies between them are
+//! real and run as separate processes.
 
 pub mod caller;
 pub mod endpoint;
