--- a/standins/src/platform/http.rs
+++ b/standins/src/platform/http.rs
@@ -1,39 +1,40 @@
-//! Just enough HTTP/1.1 to misbehave on purpose, which no server library lets one do.
+//! Minimal HTTP/1.1 over plain sockets. Stand-ins send malformed and truncated responses, which a server library
+//! doesn't allow.
 
 use std::{
     io::{self, BufRead as _, BufReader, Read as _},
     net::TcpStream,
 };
 
-/// A message: a request or an answer.
+/// An HTTP request or response.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
-    /// The first line.
+    /// Request line or status line.
     pub start_line: String,
-    /// Name, in lower case, and value.
+    /// Names, in lower case, and values.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Message body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of a header.
+    /// Value of the first header named `name` (in lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|it| it.0 == name).map(|it| &*it.1)
     }
 
-    /// The second word of the first line: a request's target, or an answer's status.
+    /// Second word of the start line: a request's target or a response's status.
     pub fn second_word(&self) -> &str {
         self.start_line.split_whitespace().nth(1).unwrap_or("")
     }
 
-    /// An answer's status.
+    /// Status of a response; 0 if it is malformed.
     pub fn status(&self) -> u16 {
         self.second_word().parse().unwrap_or(0)
     }
 }
 
-/// Reads one message with a stated length; `None` at the end of the connection.
+/// Reads one message with a body of `Content-Length` bytes; `None` if the connection ends before the message.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
     let mut message = Message::default();
     if stream.read_line(&mut message.start_line)? == 0 {
@@ -59,14 +60,14 @@
     Ok(Some(message))
 }
 
-/// Writes a message's text.
-pub fn encode(start: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut out = format!("{start}\r\n");
+/// Encodes a message and adds its `Content-Length`.
+pub fn encode(start_line: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let mut buf = format!("{start_line}\r\n");
     for (name, value) in headers {
-        out.push_str(&format!("{name}: {value}\r\n"));
+        buf.push_str(&format!("{name}: {value}\r\n"));
     }
-    out.push_str(&format!("Content-Length: {}\r\n\r\n", body.len()));
-    let mut out = out.into_bytes();
-    out.extend_from_slice(body);
-    out
+    buf.push_str(&format!("Content-Length: {}\r\n\r\n", body.len()));
+    let mut buf = buf.into_bytes();
+    buf.extend_from_slice(body);
+    buf
 }
