--- a/standins/src/platform/endpoint.rs
+++ b/standins/src/platform/endpoint.rs
@@ -1,4 +1,5 @@
-//! A stand-in for an endpoint of the users' platform, healthy or not.
+//! A stand-in for an endpoint of the users' platform. It can fail, hang, crash and restart, and records each request
+//! that arrives.
 
 use std::{
     io::{self, BufReader, Read as _, Write as _},
@@ -19,119 +20,119 @@
     relay::Relay,
 };
 
-/// An announcement is acknowledged within this, or not at all.
-const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(1);
+/// Time within which the proxy acknowledges a heartbeat.
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How an endpoint treats requests.
+/// How an endpoint handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointMode {
-    /// It works on them and answers.
+    /// Runs them and responds with 200.
     #[default]
     Good,
-    /// It fails them at once, with good health.
+    /// Responds with 500 at once; health probes still get 200.
     FailsFast,
-    /// It works on them and then fails.
+    /// Runs them and responds with 500.
     FailsSlowly,
-    /// It says that it did not run them.
+    /// Responds with 503 and `X-Not-Executed`, without running them.
     Sheds,
-    /// It takes them and never answers.
+    /// Accepts them and never responds.
     Hangs,
-    /// It runs them and resets the connection in place of an answer.
+    /// Runs them and resets the connection instead of responding.
     Resets,
-    /// It runs them and breaks the answer off.
+    /// Runs them and closes the connection before the end of the response.
     Truncates,
-    /// It runs them and answers with another request's id.
+    /// Runs them and responds with another request's id.
     AnswersAnother,
-    /// It runs them and answers without its seal.
+    /// Runs them and responds without `X-Response-Seal`.
     Unsealed,
-    /// It sends bytes after each answer.
+    /// Sends each response twice.
     SaysMore,
-    /// It ends its answer with the connection and states no length.
+    /// Sends a response without a length that ends with the connection.
     Unframed,
 }
 
-/// What reached an endpoint.
+/// A request that arrived at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// The caller's attempt.
+    /// Request id.
     pub request: String,
-    /// Method and target.
+    /// Method and target, separated by a space.
     pub line: String,
-    /// The service it says the request began at.
+    /// Value of `X-Caller-Service`.
     pub caller: String,
-    /// How long its sender waits, in milliseconds.
+    /// Value of `X-Deadline-Ms`, in milliseconds; 0 if it is missing.
     pub deadline_ms: u64,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// It ran, well or not.
+    /// Whether the endpoint ran it, successfully or not.
     pub ran: bool,
-    /// The connection was closed while it worked.
+    /// Whether the proxy closed the connection while the request ran.
     pub cut_off: bool,
-    /// When.
+    /// Time of arrival.
     pub at: Instant,
 }
 
-/// A request that ends every endpoint which begins to work on it.
+/// A request that crashes each endpoint that runs it.
 #[derive(Debug, Clone)]
 struct Crash {
     target: String,
-    /// How long it works before.
+    /// Time that it runs before the crash.
     after: Duration,
-    /// How long until it is back, in a new life.
+    /// Time from the crash to the start of the next incarnation.
     down_for: Duration,
 }
 
 struct State {
     mode: EndpointMode,
     crash: Option<Crash>,
-    /// It has crashed and is not back.
+    /// Whether it has crashed and not restarted yet.
     down: bool,
-    /// Its lives so far.
-    lives: u32,
-    /// Connections that are served.
-    open: Vec<Weak<TcpStream>>,
+    /// Number of starts: the first, and one after each crash.
+    starts: u32,
+    /// Open connections.
+    open_connections: Vec<Weak<TcpStream>>,
     health_path: String,
-    work: Duration,
+    work_time: Duration,
     instance: String,
-    /// When this life began, in Unix milliseconds.
-    born: u64,
+    /// Start time of this incarnation, in Unix milliseconds.
+    started_at: u64,
     draining: bool,
     arrivals: Vec<Arrival>,
     running: u32,
-    most_running: u32,
+    max_running: u32,
 }
 
-/// One endpoint; ends with the process.
+/// One endpoint; it runs until the process ends. Clones share its state.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address that its proxy connects to.
     pub address: SocketAddr,
     service: Arc<str>,
     slots: u32,
-    /// Its own listener, and those of relays before it.
+    /// Its own listener and those of the relays that forward to it.
     listeners: Arc<Mutex<Vec<Listener>>>,
     state: Arc<Mutex<State>>,
     sequence: Arc<AtomicU64>,
 }
 
 impl Endpoint {
-    /// Starts one on a free port; it announces nothing yet.
-    pub fn start(service: &str, instance: &str, slots: u32, work: Duration) -> io::Result<Self> {
+    /// Starts an endpoint on a free port of loopback. It sends no heartbeats by itself.
+    pub fn start(service: &str, instance: &str, slots: u32, work_time: Duration) -> io::Result<Self> {
         let listener = Listener::open()?;
         let state = State {
             mode: EndpointMode::Good,
             crash: None,
             down: false,
-            lives: 1,
-            open: Vec::new(),
+            starts: 1,
+            open_connections: Vec::new(),
             health_path: "/health".into(),
-            work,
+            work_time,
             instance: instance.into(),
-            born: unix_millis(),
+            started_at: unix_millis(),
             draining: false,
             arrivals: Vec::new(),
             running: 0,
-            most_running: 0,
+            max_running: 0,
         };
         let endpoint = Self {
             address: listener.address,
@@ -141,28 +142,29 @@
             state: Arc::new(Mutex::new(state)),
             sequence: Arc::new(AtomicU64::new(1)),
         };
-        let serving = endpoint.clone();
+        let accepting = endpoint.clone();
         let listener = endpoint.listeners.lock().unwrap_or_else(PoisonError::into_inner)[0].clone();
         thread::spawn(move || {
             listener.serve(|stream| {
-                let endpoint = serving.clone();
+                let endpoint = accepting.clone();
                 thread::spawn(move || endpoint.serve(stream));
             });
         });
         Ok(endpoint)
     }
 
-    /// From now on a request for this target ends it: it works for a moment, and is back after `down_for` in a new life.
+    /// From now on a request for `target` crashes it: the request runs for `after`, then the endpoint is down for
+    /// `down_for` and restarts as a new incarnation.
     pub fn crash_on(&self, target: &str, after: Duration, down_for: Duration) {
         self.lock().crash = Some(Crash { target: target.into(), after, down_for });
     }
 
-    /// A relay before it refuses connections while it is down, as its own address does.
+    /// Adds a relay in front of the endpoint, which refuses connections too while the endpoint is down.
     pub fn add_relay(&self, relay: &Relay) {
         self.listeners.lock().unwrap_or_else(PoisonError::into_inner).push(relay.listener.clone());
     }
 
-    /// Ends: nobody listens any more, and all connections break off. It is back some time later.
+    /// Closes the listeners and all connections, and restarts after `down_for`.
     fn crash(&self, down_for: Duration) {
         let listeners = self.listeners.lock().unwrap_or_else(PoisonError::into_inner).clone();
         listeners.iter().for_each(Listener::close);
@@ -170,34 +172,34 @@
         if std::mem::replace(&mut state.down, true) {
             return;
         }
-        for it in state.open.drain(..).filter_map(|it| it.upgrade()) {
+        for it in state.open_connections.drain(..).filter_map(|it| it.upgrade()) {
             _ = it.shutdown(Shutdown::Both);
         }
         drop(state);
         let endpoint = self.clone();
         thread::spawn(move || {
             thread::sleep(down_for);
-            endpoint.come_back(&listeners);
+            endpoint.restart_after_crash(&listeners);
         });
     }
 
-    /// Starts again, in a new life.
-    fn come_back(&self, listeners: &[Listener]) {
+    /// Restarts as a new incarnation and listens again.
+    fn restart_after_crash(&self, listeners: &[Listener]) {
         let mut state = self.lock();
-        state.lives += 1;
-        let instance = format!("{}-life-{}", state.instance, state.lives);
+        state.starts += 1;
+        let instance = format!("{}-life-{}", state.instance, state.starts);
         drop(state);
         self.replace(&instance);
         for it in listeners {
             if let Err(error) = it.reopen() {
-                eprintln!("{} stays down: {error}", it.address);
+                eprintln!("endpoint {} can't listen again after its crash: {error}", it.address);
                 return;
             }
         }
         self.lock().down = false;
     }
 
-    /// Whether it has crashed and is not back.
+    /// Whether it has crashed and not restarted yet.
     pub fn is_down(&self) -> bool {
         self.lock().down
     }
@@ -206,49 +208,50 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub fn service(&self) -> &str {
         &self.service
     }
 
-    /// Makes it misbehave, or not.
+    /// Sets how it handles requests from now on.
     pub fn set_mode(&self, mode: EndpointMode) {
         self.lock().mode = mode;
     }
 
-    /// Replaces it by a new incarnation at the same address.
+    /// Starts a new incarnation with id `instance` at the same address; open connections stay.
     pub fn replace(&self, instance: &str) {
         let mut state = self.lock();
         state.instance = instance.into();
-        state.born = unix_millis().max(state.born + 1);
+        state.started_at = unix_millis().max(state.started_at + 1);
         state.draining = false;
         drop(state);
         self.sequence.store(1, Ordering::Relaxed);
     }
 
-    /// It crashes and starts again under the id that it had.
+    /// Starts a new incarnation under the same id.
     pub fn restart(&self) {
         let instance = self.lock().instance.clone();
         self.replace(&instance);
     }
 
-    /// Which life it is in: its id, and when it began.
+    /// Id of the current incarnation and its start time in Unix milliseconds.
     pub fn incarnation(&self) -> (String, u64) {
         let state = self.lock();
-        (state.instance.clone(), state.born)
+        (state.instance.clone(), state.started_at)
     }
 
-    /// What reached it so far.
+    /// Requests that arrived so far, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.lock().arrivals.clone()
     }
 
-    /// The most requests it worked on at once.
+    /// Highest number of requests that ran at once.
     pub fn max_running(&self) -> u32 {
-        self.lock().most_running
+        self.lock().max_running
     }
 
-    /// Sends one announcement to the proxy beside it; returns the status.
+    /// Sends a heartbeat to the proxy on its VM and returns the status of the response. After a heartbeat with
+    /// `draining`, all further ones of the incarnation say so too. Fails with `NotConnected` while the endpoint is down.
     pub fn announce(&self, proxy: SocketAddr, draining: bool) -> io::Result<u16> {
         if self.is_down() {
             return Err(io::ErrorKind::NotConnected.into());
@@ -259,32 +262,32 @@
         self.announce_as(proxy, &self.incarnation(), state, sequence)
     }
 
-    /// Sends an announcement of a life, with this content.
+    /// Sends a heartbeat for the incarnation with this id and start time, with the given state and sequence number.
     pub fn announce_as(
         &self,
         proxy: SocketAddr,
-        (instance, born): &(String, u64),
+        (instance, started_at): &(String, u64),
         state: &str,
         sequence: u64,
     ) -> io::Result<u16> {
         let body = serde_json::json!({
             "service": &*self.service, "address": self.address, "zone": "dc-1", "version": "v1", "slots": self.slots,
-            "state": state, "warmup_left_s": 0, "sequence": sequence, "born": born,
+            "state": state, "warmup_left_s": 0, "sequence": sequence, "born": started_at,
         });
         Self::send_heartbeat(proxy, instance, body.to_string().as_bytes())
     }
 
-    /// Sends a heartbeat with this body, whatever it is; returns the status.
+    /// Sends a heartbeat with an arbitrary body; returns the status, or 0 if the connection ends without a response.
     pub fn send_heartbeat(proxy: SocketAddr, instance: &str, body: &[u8]) -> io::Result<u16> {
         let mut stream = TcpStream::connect(proxy)?;
-        stream.set_read_timeout(Some(ACKNOWLEDGED_WITHIN))?;
+        stream.set_read_timeout(Some(ACK_TIMEOUT))?;
         let start = format!("POST /instances/{instance}/heartbeat HTTP/1.1");
         stream.write_all(&http::encode(&start, &[("Host", "control")], body))?;
-        let answer = http::read_message(&mut BufReader::new(stream))?;
-        Ok(answer.map_or(0, |it| it.status()))
+        let resp = http::read_message(&mut BufReader::new(stream))?;
+        Ok(resp.map_or(0, |it| it.status()))
     }
 
-    /// Answers health questions at another path from now on.
+    /// Answers health probes at `path` only, from now on.
     pub fn set_health_path(&self, path: &str) {
         self.lock().health_path = path.into();
     }
@@ -293,8 +296,8 @@
         let (Ok(mut writer), Ok(open)) = (stream.try_clone(), stream.try_clone().map(Arc::new)) else { return };
         {
             let mut state = self.lock();
-            state.open.retain(|it| it.strong_count() > 0);
-            state.open.push(Arc::downgrade(&open));
+            state.open_connections.retain(|it| it.strong_count() > 0);
+            state.open_connections.push(Arc::downgrade(&open));
         }
         let mut reader = BufReader::new(stream);
         while let Ok(Some(req)) = http::read_message(&mut reader) {
@@ -308,56 +311,57 @@
                 }
                 continue;
             }
-            if !self.answer(&req, &mut writer) {
+            if !self.respond(&req, &mut writer) {
                 return;
             }
         }
     }
 
-    /// Works on a request and answers it; false if the connection is to be closed.
-    fn answer(&self, req: &Message, writer: &mut TcpStream) -> bool {
-        let (mode, work, instance) = {
+    /// Handles a request according to the mode; returns whether to keep the connection.
+    fn respond(&self, req: &Message, writer: &mut TcpStream) -> bool {
+        let (mode, work_time, instance) = {
             let state = self.lock();
-            (state.mode, state.work, state.instance.clone())
+            (state.mode, state.work_time, state.instance.clone())
         };
         let id = req.header("x-request-id").unwrap_or("").to_owned();
-        let wrong = req.header("x-expect-instance").is_some_and(|it| it != instance);
+        let is_for_other_instance = req.header("x-expect-instance").is_some_and(|it| it != instance);
         let sheds = mode == EndpointMode::Sheds;
-        let at = self.note(req, !wrong && !sheds);
-        let crash = self.lock().crash.clone().filter(|it| it.target == req.second_word() && !wrong && !sheds);
+        let index = self.record_arrival(req, !is_for_other_instance && !sheds);
+        let crash =
+            self.lock().crash.clone().filter(|it| it.target == req.second_word() && !is_for_other_instance && !sheds);
         if let Some(it) = crash {
-            self.work(at, it.after, writer);
+            self.run(index, it.after, writer);
             self.crash(it.down_for);
             return false;
         }
-        if wrong {
+        if is_for_other_instance {
             return writer.write_all(&http::encode("HTTP/1.1 421 x", &[("X-Instance-Id", &instance)], b"")).is_ok();
         }
         if sheds {
             return writer.write_all(&http::encode("HTTP/1.1 503 x", &[("X-Not-Executed", "1")], b"")).is_ok();
         }
         if mode != EndpointMode::FailsFast {
-            let work = if mode == EndpointMode::Hangs { Duration::from_secs(20) } else { work };
-            if !self.work(at, work, writer) {
+            let work_time = if mode == EndpointMode::Hangs { Duration::from_secs(20) } else { work_time };
+            if !self.run(index, work_time, writer) {
                 return false;
             }
         }
         let seal = format!("seal-{id}");
         let headers = [("X-Request-Id", &*id), ("X-Response-Seal", &*seal)];
         let body = format!("{} {id}", self.service).into_bytes();
-        let good = http::encode("HTTP/1.1 200 x", &headers, &body);
+        let complete = http::encode("HTTP/1.1 200 x", &headers, &body);
         match mode {
-            EndpointMode::Good => writer.write_all(&good).is_ok(),
+            EndpointMode::Good => writer.write_all(&complete).is_ok(),
             EndpointMode::FailsFast | EndpointMode::FailsSlowly => {
                 writer.write_all(&http::encode("HTTP/1.1 500 x", &headers, b"failed")).is_ok()
             }
             EndpointMode::Resets => {
-                // Unread or unsent bytes are thrown away with the connection.
+                // Makes the close of the connection send RST and discard unsent bytes.
                 _ = SockRef::from(&*writer).set_linger(Some(Duration::ZERO));
                 false
             }
             EndpointMode::Truncates => {
-                _ = writer.write_all(&good[..good.len() - 3]);
+                _ = writer.write_all(&complete[..complete.len() - 3]);
                 false
             }
             EndpointMode::AnswersAnother => {
@@ -367,26 +371,27 @@
             EndpointMode::Unsealed => {
                 writer.write_all(&http::encode("HTTP/1.1 200 x", &[("X-Request-Id", &id)], &body)).is_ok()
             }
-            EndpointMode::SaysMore => writer.write_all(&[good.clone(), good].concat()).is_ok(),
+            EndpointMode::SaysMore => writer.write_all(&[complete.clone(), complete].concat()).is_ok(),
             EndpointMode::Unframed => {
-                let head = format!(
+                let header_section = format!(
                     "HTTP/1.1 200 x\r\nX-Request-Id: {id}\r\nX-Response-Seal: {seal}\r\nConnection: close\r\n\r\n"
                 );
-                _ = writer.write_all(&[head.as_bytes(), &body].concat());
+                _ = writer.write_all(&[header_section.as_bytes(), &body].concat());
                 false
             }
             EndpointMode::Sheds | EndpointMode::Hangs => false,
         }
     }
 
-    fn note(&self, req: &Message, ran: bool) -> usize {
-        let text = |name| req.header(name).unwrap_or("").to_owned();
+    /// Records an arrival and returns its index.
+    fn record_arrival(&self, req: &Message, ran: bool) -> usize {
+        let header = |name| req.header(name).unwrap_or("").to_owned();
         let mut state = self.lock();
         state.arrivals.push(Arrival {
-            request: text("x-request-id"),
+            request: header("x-request-id"),
             line: req.start_line.trim_end_matches(" HTTP/1.1").to_owned(),
-            caller: text("x-caller-service"),
-            deadline_ms: text("x-deadline-ms").parse().unwrap_or(0),
+            caller: header("x-caller-service"),
+            deadline_ms: header("x-deadline-ms").parse().unwrap_or(0),
             body: req.body.clone(),
             ran,
             cut_off: false,
@@ -395,31 +400,31 @@
         state.arrivals.len() - 1
     }
 
-    /// Works for a while; false if the connection is closed meanwhile.
-    fn work(&self, at: usize, work: Duration, stream: &mut TcpStream) -> bool {
+    /// Runs the request `index` for `work_time`; returns false at once if the connection is closed meanwhile.
+    fn run(&self, index: usize, work_time: Duration, stream: &mut TcpStream) -> bool {
         {
             let mut state = self.lock();
             state.running += 1;
-            state.most_running = state.most_running.max(state.running);
+            state.max_running = state.max_running.max(state.running);
         }
-        let until = Instant::now() + work;
-        let mut open = true;
+        let until = Instant::now() + work_time;
+        let mut is_open = true;
         let mut byte = [0];
-        while open && Instant::now() < until {
+        while is_open && Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
             _ = stream.set_read_timeout(Some(left.min(Duration::from_millis(10))));
-            // Nothing is due but the connection's end.
-            open = !matches!(stream.read(&mut byte), Ok(0));
+            // The proxy sends nothing while it waits, so a read of 0 bytes means that it closed the connection.
+            is_open = !matches!(stream.read(&mut byte), Ok(0));
         }
         _ = stream.set_read_timeout(None);
         let mut state = self.lock();
         state.running -= 1;
-        state.arrivals[at].cut_off = !open;
-        open
+        state.arrivals[index].cut_off = !is_open;
+        is_open
     }
 }
 
 fn unix_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
