--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A small deployment: the store, endpoints, and a proxy beside each, as separate processes.
+//! A small deployment: a stand-in store, stand-in endpoints, and for each endpoint a real proxy as a separate process.
 
 use std::{
     fs, io,
@@ -22,49 +22,49 @@
     relay::Relay,
 };
 
-/// How often endpoints announce themselves.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(150);
-/// How long a deployment may take to do what is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// A process that has started handles signals within this.
-const STARTED_WITHIN: Duration = Duration::from_millis(20);
-/// The host of all routes.
+/// Interval of the endpoints' heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest wait for a condition, a response or the exit of a process.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest wait for a started process to install its handler of SIGHUP.
+const HANDLER_TIMEOUT: Duration = Duration::from_millis(20);
+/// Host of all routes.
 pub const HOST: &str = "desk.example";
 
-/// The ports of a proxy, at an address of its own: callers, peers, announcements, readiness, metrics.
+/// Ports of each proxy for callers, peers, announcements, readiness and metrics. Each proxy has its own address.
 const PORTS: [u16; 5] = [7100, 7101, 7102, 7103, 7104];
 
-static SITES: AtomicU32 = AtomicU32::new(1);
-static PROXIES: AtomicU32 = AtomicU32::new(1);
+static NEXT_SITE: AtomicU32 = AtomicU32::new(1);
+static NEXT_PROXY: AtomicU32 = AtomicU32::new(1);
 
-/// A proxy's process and addresses.
+/// A proxy's process, its addresses and its endpoint.
 pub struct Proxy {
     child: Child,
-    settings: PathBuf,
-    log: PathBuf,
-    /// Where callers connect.
+    settings_path: PathBuf,
+    log_path: PathBuf,
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where its endpoint announces itself.
+    /// Address for the heartbeats of its endpoint.
     pub announcements: SocketAddr,
-    /// Where the platform asks for readiness.
+    /// Address for readiness probes.
     pub readiness: SocketAddr,
-    /// Where its metrics are.
+    /// Address for metrics and status.
     pub metrics: SocketAddr,
-    /// The endpoint beside it.
+    /// Endpoint on the same VM.
     pub endpoint: Endpoint,
-    /// What stands between it and the others, if anything does.
+    /// Relays around the proxy, if the site has relays.
     pub relays: Option<Relays>,
-    announcing: Arc<AtomicBool>,
+    heartbeats_enabled: Arc<AtomicBool>,
 }
 
-/// The relays of one proxy.
+/// Relays around one proxy.
 #[derive(Debug, Clone)]
 pub struct Relays {
-    /// Other proxies reach it through this.
+    /// From the other proxies to this one.
     pub peers: Relay,
-    /// It reaches its endpoint through this.
+    /// From the proxy to its endpoint.
     pub endpoint: Relay,
-    /// It reaches the store through this.
+    /// From the proxy to the store.
     pub store: Relay,
 }
 
@@ -74,51 +74,52 @@
     }
 }
 
-/// A deployment; its processes are killed when it goes out of scope.
+/// A deployment; its processes are killed on drop.
 pub struct Site {
-    /// The store.
+    /// Store that all proxies use.
     pub store: Store,
-    /// The proxies.
+    /// Proxies in the order in which they were added.
     pub proxies: Vec<Proxy>,
-    relays: bool,
-    folder: PathBuf,
+    with_relays: bool,
+    dir: PathBuf,
 }
 
 impl Site {
-    /// Starts the store alone.
+    /// Starts the store; proxies connect directly.
     pub fn start() -> io::Result<Self> {
         Self::start_with(false)
     }
 
-    /// Starts the store; each proxy that is added will stand between relays.
+    /// Starts the store; proxies connect through relays.
     pub fn start_with_relays() -> io::Result<Self> {
         Self::start_with(true)
     }
 
-    fn start_with(relays: bool) -> io::Result<Self> {
-        let number = SITES.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("jayreach-site-{}-{number}", std::process::id()));
-        fs::create_dir_all(&folder)?;
-        Ok(Self { store: Store::start()?, proxies: Vec::new(), relays, folder })
+    fn start_with(with_relays: bool) -> io::Result<Self> {
+        let number = NEXT_SITE.fetch_add(1, Ordering::Relaxed);
+        let dir = std::env::temp_dir().join(format!("jayreach-site-{}-{number}", std::process::id()));
+        fs::create_dir_all(&dir)?;
+        Ok(Self { store: Store::start()?, proxies: Vec::new(), with_relays, dir })
     }
 
-    /// Adds an endpoint with a proxy beside it.
+    /// Starts an endpoint, which sends heartbeats, and its proxy. `work` is the time that the endpoint works on a
+    /// request.
     pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work: Duration) -> io::Result<()> {
         let number = self.proxies.len() + 1;
         let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work)?;
-        let address = own_address()?;
+        let address = unused_address()?;
         let ports = PORTS.map(|it| SocketAddr::from((address, it)));
         let (mut advertised, mut store) = (ports[1], self.store.address);
         let mut relays = None;
-        if self.relays {
+        if self.with_relays {
             let it = Relays::start(ports[1], endpoint.address, store)?;
             endpoint.add_relay(&it.endpoint);
             (advertised, endpoint.address, store) = (it.peers.address, it.endpoint.address, it.store.address);
             relays = Some(it);
         }
-        let settings = self.folder.join(format!("vm-{number}.toml"));
-        let log = self.folder.join(format!("vm-{number}.log"));
-        let text = format!(
+        let settings_path = self.dir.join(format!("vm-{number}.toml"));
+        let log_path = self.dir.join(format!("vm-{number}.log"));
+        let settings = format!(
             "name = \"vm-{number}\"\ndata_centre = \"{data_centre}\"\nservice = \"{service}\"\ncallers = \"{}\"\n\
              peers = \"{}\"\nadvertised = \"{advertised}\"\nannouncements = \"{}\"\nreadiness = \"{}\"\nmetrics = \"{}\"\nendpoint = \"{}\"\n\
              store = \"{store}\"\nannounce_every_s = {}\ngrace_s = 3\nretry_ratio = 0.2\n\
@@ -129,142 +130,144 @@
             ports[3],
             ports[4],
             endpoint.address,
-            ANNOUNCE_EVERY.as_secs_f64(),
+            HEARTBEAT_INTERVAL.as_secs_f64(),
         );
-        fs::write(&settings, text)?;
-        let child = spawn(&settings, &log)?;
-        let announcing = Arc::new(AtomicBool::new(true));
-        keep_announcing(endpoint.clone(), ports[2], Arc::clone(&announcing));
+        fs::write(&settings_path, settings)?;
+        let child = spawn_proxy(&settings_path, &log_path)?;
+        let heartbeats_enabled = Arc::new(AtomicBool::new(true));
+        send_heartbeats(endpoint.clone(), ports[2], Arc::clone(&heartbeats_enabled));
         self.proxies.push(Proxy {
             child,
-            settings,
-            log,
+            settings_path,
+            log_path,
             callers: ports[0],
             announcements: ports[2],
             readiness: ports[3],
             metrics: ports[4],
             endpoint,
             relays,
-            announcing,
+            heartbeats_enabled,
         });
         Ok(())
     }
 
-    /// Waits until every proxy is ready and knows `endpoints` endpoints that take work.
+    /// Waits until every proxy is ready and lists `endpoints` endpoints; if that takes too long, prints each proxy's
+    /// diagnostics and returns false.
     pub fn wait_until_ready(&self, endpoints: usize) -> bool {
-        let found = eventually(|| self.proxies.iter().all(|it| it.is_ready() && it.known_endpoints() == endpoints));
-        if !found {
+        let ready = eventually(|| self.proxies.iter().all(|it| it.is_ready() && it.known_endpoints() == endpoints));
+        if !ready {
             self.proxies.iter().for_each(Proxy::print_diagnostics);
         }
-        found
+        ready
     }
 }
 
 impl Drop for Site {
     fn drop(&mut self) {
         for it in &mut self.proxies {
-            it.announcing.store(false, Ordering::Relaxed);
+            it.heartbeats_enabled.store(false, Ordering::Relaxed);
             it.kill();
         }
-        // A folder that stays in the temporary directory harms no one.
-        _ = fs::remove_dir_all(&self.folder);
+        // An error leaves a directory behind in the temporary directory.
+        _ = fs::remove_dir_all(&self.dir);
     }
 }
 
 impl Proxy {
-    /// Whether it says that callers should come.
+    /// Whether its readiness probe gets 200.
     pub fn is_ready(&self) -> bool {
-        let call = CallerRequest { line: "GET /readiness", host: "ready", request: "", deadline: PATIENCE, body: b"" };
-        call.send_and_read(self.readiness).is_ok_and(|it| it.status() == 200)
+        let req =
+            CallerRequest { line: "GET /readiness", host: "ready", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        req.send_and_read(self.readiness).is_ok_and(|it| it.status() == 200)
     }
 
-    /// Its status, as JSON.
+    /// Status as JSON; null if the proxy doesn't respond.
     pub fn status(&self) -> Value {
         Self::status_at(self.metrics)
     }
 
-    /// The status of the proxy with this metrics address; null if there is none.
+    /// Status of the proxy with this metrics address; null if it doesn't respond.
     pub fn status_at(metrics: SocketAddr) -> Value {
-        let call = CallerRequest { line: "GET /status", host: "status", request: "", deadline: PATIENCE, body: b"" };
-        let answer = call.send_and_read(metrics).ok();
-        answer.and_then(|it| serde_json::from_slice(&it.body).ok()).unwrap_or(Value::Null)
+        let req = CallerRequest { line: "GET /status", host: "status", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        let resp = req.send_and_read(metrics).ok();
+        resp.and_then(|it| serde_json::from_slice(&it.body).ok()).unwrap_or(Value::Null)
     }
 
-    /// How many endpoints it knows that take work.
+    /// Number of endpoints in its status, its own included.
     pub fn known_endpoints(&self) -> usize {
         let status = self.status();
         let rows = status["peers"].as_array().cloned().unwrap_or_default();
         rows.iter().chain([&status["row"]]).filter(|it| it["endpoint"].is_object()).count()
     }
 
-    /// Prints what it wrote beside its event lines, and what it knows.
+    /// Prints to stderr its output other than event lines, and its status.
     pub fn print_diagnostics(&self) {
-        let text = fs::read_to_string(&self.log).unwrap_or_default();
-        let words: Vec<&str> = text.lines().filter(|it| !it.starts_with('{')).collect();
-        eprintln!("{}: {words:?}; status {}", self.settings.display(), self.status());
+        let text = fs::read_to_string(&self.log_path).unwrap_or_default();
+        let other_lines: Vec<&str> = text.lines().filter(|it| !it.starts_with('{')).collect();
+        eprintln!("{}: {other_lines:?}; status {}", self.settings_path.display(), self.status());
     }
 
-    /// Its event lines.
+    /// Event lines that it has written.
     pub fn events(&self) -> Vec<Value> {
-        let text = fs::read_to_string(&self.log).unwrap_or_default();
+        let text = fs::read_to_string(&self.log_path).unwrap_or_default();
         text.lines().filter_map(|it| serde_json::from_str(it).ok()).collect()
     }
 
-    /// The path of its settings file.
+    /// Path of its settings file.
     pub fn settings_path(&self) -> &PathBuf {
-        &self.settings
+        &self.settings_path
     }
 
-    /// The path of its event lines.
+    /// Path of the file with its stdout and stderr, which contain the event lines.
     pub fn log_path(&self) -> &PathBuf {
-        &self.log
+        &self.log_path
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        // A process that has ended needs no signal.
+        // Fails if the process has exited, which is not an error here.
         _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// Tells it that its settings changed, once it has come so far that it handles the signal: in its first millisecond, before
-    /// any code of its own runs, every program ends by it.
+    /// Sends SIGHUP, which makes it read its settings again. Waits for its signal handler first (at most 20 ms),
+    /// because SIGHUP ends a process that has none yet.
     pub fn reload(&self) {
-        let deadline = Instant::now() + STARTED_WITHIN;
+        let deadline = Instant::now() + HANDLER_TIMEOUT;
         while !self.handles_reload() && Instant::now() < deadline {
             thread::sleep(Duration::from_micros(200));
         }
         self.signal(Signal::HUP);
     }
 
-    /// Whether the system knows a handler of SIGHUP of the process.
+    /// Whether the process has installed a handler of SIGHUP.
     fn handles_reload(&self) -> bool {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
-        let caught = status.lines().find_map(|it| it.strip_prefix("SigCgt:"));
-        // The bits are numbered from 1.
-        caught.is_some_and(|it| u64::from_str_radix(it.trim(), 16).is_ok_and(|it| it & 1 != 0))
+        let handled_signals = status.lines().find_map(|it| it.strip_prefix("SigCgt:"));
+        // Bit n - 1 of the mask is for signal n; SIGHUP is 1.
+        handled_signals.is_some_and(|it| u64::from_str_radix(it.trim(), 16).is_ok_and(|it| it & 1 != 0))
     }
 
-    /// Kills the process.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// Starts the process anew.
+    /// Kills the process and starts it again with the same settings.
     pub fn restart(&mut self) -> io::Result<()> {
         self.kill();
-        self.child = spawn(&self.settings, &self.log)?;
+        self.child = spawn_proxy(&self.settings_path, &self.log_path)?;
         Ok(())
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Whether the process ends by itself within the patience of these tests.
+    /// Waits for the process to exit by itself; false if it takes longer than 20 seconds.
     pub fn exits_in_time(&mut self) -> bool {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
             if self.has_exited() {
                 return true;
@@ -274,42 +277,42 @@
         false
     }
 
-    /// Its endpoint announces itself no more.
+    /// Stops the heartbeats of its endpoint for good, and waits for two intervals.
     pub fn stop_announcements(&self) {
-        self.announcing.store(false, Ordering::Relaxed);
-        thread::sleep(ANNOUNCE_EVERY * 2);
+        self.heartbeats_enabled.store(false, Ordering::Relaxed);
+        thread::sleep(HEARTBEAT_INTERVAL * 2);
     }
 }
 
-fn spawn(settings: &PathBuf, log: &PathBuf) -> io::Result<Child> {
-    let out = fs::OpenOptions::new().create(true).append(true).open(log)?;
+fn spawn_proxy(settings_path: &PathBuf, log_path: &PathBuf) -> io::Result<Child> {
+    let stdout = fs::OpenOptions::new().create(true).append(true).open(log_path)?;
     let mut command = Command::new(fleet::program_path("jayreach")?);
-    command.arg("proxy").arg("--settings").arg(settings);
-    let err = out.try_clone()?;
-    command.stdin(Stdio::null()).stdout(out).stderr(err).spawn()
+    command.arg("proxy").arg("--settings").arg(settings_path);
+    let stderr = stdout.try_clone()?;
+    command.stdin(Stdio::null()).stdout(stdout).stderr(stderr).spawn()
 }
 
-fn keep_announcing(endpoint: Endpoint, proxy: SocketAddr, announcing: Arc<AtomicBool>) {
+fn send_heartbeats(endpoint: Endpoint, proxy: SocketAddr, heartbeats_enabled: Arc<AtomicBool>) {
     thread::spawn(move || {
-        while announcing.load(Ordering::Relaxed) {
-            // A proxy that is down hears the next one.
+        while heartbeats_enabled.load(Ordering::Relaxed) {
+            // A heartbeat fails while the proxy is down; the next one follows.
             _ = endpoint.announce(proxy, false);
-            thread::sleep(ANNOUNCE_EVERY);
+            thread::sleep(HEARTBEAT_INTERVAL);
         }
     });
 }
 
-/// An address of its own for each proxy: on a shared one, ports that were free a moment ago are taken
-/// by other tests' listeners and connections.
-fn own_address() -> io::Result<Ipv4Addr> {
-    let number = u8::try_from(PROXIES.fetch_add(1, Ordering::Relaxed)).map_err(io::Error::other)?;
+/// A loopback address that no other proxy uses. On a shared address, other tests could take a port between its choice
+/// and its use.
+fn unused_address() -> io::Result<Ipv4Addr> {
+    let number = u8::try_from(NEXT_PROXY.fetch_add(1, Ordering::Relaxed)).map_err(io::Error::other)?;
     let [_, _, high, low] = std::process::id().to_be_bytes();
     Ok(Ipv4Addr::new(127, 64 + high % 64, low, number))
 }
 
-/// Whether `condition` comes to hold within the patience of these tests.
+/// Waits until `condition` holds; false if it takes longer than 20 seconds.
 pub fn eventually(condition: impl Fn() -> bool) -> bool {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if condition() {
             return true;
@@ -319,12 +322,12 @@
     false
 }
 
-/// A route of the operator's configuration.
-pub fn route(prefix: &str, kind: &str, rank: u32, services: &[(&str, u32)]) -> Value {
+/// A route of the operator's configuration for all paths under `prefix`, to services with these weights.
+pub fn route(prefix: &str, kind: &str, priority: u32, services: &[(&str, u32)]) -> Value {
     let clusters: Vec<Value> = services.iter().map(|it| json!({"service": it.0, "weight": it.1})).collect();
     let mut route = json!({
         "host": HOST, "path_prefix": prefix, "kind": kind, "timeout_s": 2.0, "target_latency_s": 1.0,
-        "priority": rank, "max_attempts": 2,
+        "priority": priority, "max_attempts": 2,
     });
     match services {
         [(only, _)] => route["service"] = json!(only),
@@ -333,7 +336,7 @@
     route
 }
 
-/// The operator's configuration with these routes, by name.
+/// An operator's configuration with these named routes.
 pub fn config(version: u32, routes: &[(&str, Value)]) -> Value {
     let routes: serde_json::Map<String, Value> =
         routes.iter().map(|(name, it)| ((*name).to_owned(), it.clone())).collect();
