--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the platform's metadata store: objects by kind and name, revisions, watches.
+//! A stand-in for the platform's metadata store: objects by kind and name, revisions, watches, and restores from a
+//! backup.
 
 use std::{
     io::{BufReader, Write as _},
@@ -12,36 +13,36 @@
 
 use crate::platform::http::{self, Message};
 
-/// The kind of the operator's configuration.
-const CONFIG: &str = "config";
+/// Kind of the operator's configuration.
+const CONFIG_KIND: &str = "config";
 
-/// The connection ends without an answer.
-const CUT_OFF: (u16, Value) = (0, Value::Null);
+/// In place of a response: closes the connection without one.
+const NO_RESPONSE: (u16, Value) = (0, Value::Null);
 
-/// How the store misbehaves.
+/// How the store handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreMode {
-    /// It answers.
+    /// Responds normally.
     #[default]
     Good,
-    /// Every call is refused with 503; nothing is done.
+    /// Responds with 503 to every request, without any effect.
     Busy,
-    /// Every connection is closed without an answer.
+    /// Closes the connection of each request without a response.
     Reset,
-    /// Writes take effect and lose their answers.
+    /// Applies writes, but closes the connection instead of responding to them; reads get responses.
     LosesAnswers,
 }
 
 #[derive(Clone)]
-struct Stored {
+struct StoredObject {
     kind: String,
     name: String,
     revision: u64,
     spec: Value,
 }
 
-impl Stored {
-    fn value(&self) -> Value {
+impl StoredObject {
+    fn to_json(&self) -> Value {
         json!({"metadata": {"name": self.name, "revision": self.revision, "create_rev": 1, "finalizers": []},
                "spec": self.spec, "status": null})
     }
@@ -49,16 +50,16 @@
 
 #[derive(Default)]
 struct State {
-    objects: Vec<Stored>,
+    objects: Vec<StoredObject>,
     revision: u64,
-    /// Watches from before this get 410.
-    oldest: u64,
+    /// Watches from earlier revisions get 410.
+    oldest_watchable: u64,
     mode: StoreMode,
-    calls: u64,
-    /// Goes up by one each time the store is restored from a backup.
+    requests: u64,
+    /// Number of restores from a backup.
     era: u64,
-    /// The last backup.
-    backup: (Vec<Stored>, u64),
+    /// Objects and revision of the last backup.
+    backup: (Vec<StoredObject>, u64),
 }
 
 impl State {
@@ -66,28 +67,28 @@
         self.revision += 1;
         let revision = self.revision;
         self.objects.retain(|it| it.kind != kind || it.name != name);
-        self.objects.push(Stored { kind: kind.into(), name: name.into(), revision, spec });
+        self.objects.push(StoredObject { kind: kind.into(), name: name.into(), revision, spec });
     }
 }
 
-/// The store; ends with the process.
+/// The store; it runs until the process ends. Clones share its state.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Store {
-    /// Starts one on a free port.
+    /// Starts a store on a free port of loopback.
     pub fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = State { revision: 1, ..State::default() };
         let store = Self { address: listener.local_addr()?, shared: Arc::new((Mutex::new(state), Condvar::new())) };
-        let serving = store.clone();
+        let accepting = store.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let store = serving.clone();
+                let store = accepting.clone();
                 thread::spawn(move || store.serve(stream));
             }
         });
@@ -98,46 +99,47 @@
         self.shared.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes it misbehave, or not.
+    /// Sets how it handles requests from now on; open watches end with 503 if the mode isn't `Good`.
     pub fn set_mode(&self, mode: StoreMode) {
         self.lock().mode = mode;
         self.shared.1.notify_all();
     }
 
-    /// Calls so far.
+    /// Number of requests so far.
     pub fn request_count(&self) -> u64 {
-        self.lock().calls
+        self.lock().requests
     }
 
-    /// Names of the objects of a kind.
+    /// Names of the objects of `kind`.
     pub fn object_names(&self, kind: &str) -> Vec<String> {
         self.lock().objects.iter().filter(|it| it.kind == kind).map(|it| it.name.clone()).collect()
     }
 
-    /// Forgets the history: watches have to begin anew.
+    /// Discards the history: watches from earlier revisions get 410 and have to list again.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.revision += 1;
-        state.oldest = state.revision;
+        state.oldest_watchable = state.revision;
         self.shared.1.notify_all();
     }
 
-    /// Makes a backup, from which it may be restored.
+    /// Makes a backup for [`Store::restore`]; it replaces the last one.
     pub fn back_up(&self) {
         let mut state = self.lock();
         state.backup = (state.objects.clone(), state.revision);
     }
 
-    /// Is restored from the backup: what the system wrote since is gone, and revisions are given out again. What the operator wrote
-    /// is written again, `spec` in place of its last configuration if there is one; then come `others` changes of other objects.
+    /// Restores the backup: later writes are lost, and their revisions are used a second time. Open watches end
+    /// without a response. Then the configuration is written again, as `spec` or, if that is `None`, as it was before
+    /// the restore, and `others` changes of an unrelated object follow.
     pub fn restore(&self, spec: Option<Value>, others: u32) {
         let mut state = self.lock();
-        let last = state.objects.iter().find(|it| it.kind == CONFIG).map(|it| it.spec.clone());
+        let last_config = state.objects.iter().find(|it| it.kind == CONFIG_KIND).map(|it| it.spec.clone());
         (state.objects, state.revision) = state.backup.clone();
         state.era += 1;
         let revision = state.revision;
-        if let Some(spec) = spec.or(last) {
-            state.replace(CONFIG, "main", spec);
+        if let Some(spec) = spec.or(last_config) {
+            state.replace(CONFIG_KIND, "main", spec);
         }
         for _ in 0..others {
             state.replace("another-s", "x", json!({"since": revision}));
@@ -145,12 +147,12 @@
         self.shared.1.notify_all();
     }
 
-    /// The operator replaces the configuration.
+    /// Replaces the operator's configuration.
     pub fn put_config(&self, spec: Value) {
-        self.put_object(CONFIG, "main", spec);
+        self.put_object(CONFIG_KIND, "main", spec);
     }
 
-    /// Another writer leaves an object.
+    /// Creates or replaces an object, as another client of the store would.
     pub fn put_object(&self, kind: &str, name: &str, spec: Value) {
         self.lock().replace(kind, name, spec);
         self.shared.1.notify_all();
@@ -162,40 +164,40 @@
         while let Ok(Some(req)) = http::read_message(&mut reader) {
             let mode = {
                 let mut state = self.lock();
-                state.calls += 1;
+                state.requests += 1;
                 state.mode
             };
-            let answer = match mode {
+            let resp = match mode {
                 StoreMode::Reset => return,
                 StoreMode::Busy => (503, Value::Null),
-                StoreMode::Good | StoreMode::LosesAnswers => self.answer(&req),
+                StoreMode::Good | StoreMode::LosesAnswers => self.respond(&req),
             };
-            if answer == CUT_OFF {
+            if resp == NO_RESPONSE {
                 return;
             }
             if mode == StoreMode::LosesAnswers && !req.start_line.starts_with("GET") {
                 return;
             }
-            let body = answer.1.to_string();
+            let body = resp.1.to_string();
             let era = self.lock().era.to_string();
-            let text = http::encode(&format!("HTTP/1.1 {} x", answer.0), &[("Store-Era", &era)], body.as_bytes());
-            if writer.write_all(&text).is_err() {
+            let buf = http::encode(&format!("HTTP/1.1 {} x", resp.0), &[("Store-Era", &era)], body.as_bytes());
+            if writer.write_all(&buf).is_err() {
                 return;
             }
         }
     }
 
-    fn answer(&self, req: &Message) -> (u16, Value) {
+    fn respond(&self, req: &Message) -> (u16, Value) {
         let method = req.start_line.split(' ').next().unwrap_or("").to_owned();
         let (path, query) = req.second_word().split_once('?').unwrap_or((req.second_word(), ""));
         let path = path.trim_start_matches("/objects/");
         let (kind, name) = path.split_once('/').unwrap_or((path, ""));
         let body: Value = serde_json::from_slice(&req.body).unwrap_or(Value::Null);
-        let found = self.object_names(kind).iter().any(|it| it == name);
+        let exists = self.object_names(kind).iter().any(|it| it == name);
         match method.as_str() {
             "GET" if query.contains("watch=") => self.watch(kind, query),
             "GET" if name.is_empty() => self.list(kind),
-            "GET" if found => (200, self.object(kind, name)),
+            "GET" if exists => (200, self.object(kind, name)),
             "POST" => {
                 let name = body["metadata"]["name"].as_str().unwrap_or("").to_owned();
                 if self.object_names(kind).contains(&name) {
@@ -204,7 +206,7 @@
                 self.put_object(kind, &name, body["spec"].clone());
                 (200, Value::Null)
             }
-            "PUT" if found => {
+            "PUT" if exists => {
                 let revision = &body["metadata"]["revision"];
                 if revision.is_u64() && *revision != self.object(kind, name)["metadata"]["revision"] {
                     return (409, Value::Null);
@@ -212,7 +214,7 @@
                 self.put_object(kind, name, body["spec"].clone());
                 (200, Value::Null)
             }
-            "DELETE" if found => {
+            "DELETE" if exists => {
                 let mut state = self.lock();
                 state.revision += 1;
                 state.objects.retain(|it| it.kind != kind || it.name != name);
@@ -225,32 +227,32 @@
     fn object(&self, kind: &str, name: &str) -> Value {
         let state = self.lock();
         let found = state.objects.iter().find(|it| it.kind == kind && it.name == name);
-        found.map_or(Value::Null, Stored::value)
+        found.map_or(Value::Null, StoredObject::to_json)
     }
 
     fn list(&self, kind: &str) -> (u16, Value) {
         let state = self.lock();
-        let items: Vec<Value> = state.objects.iter().filter(|it| it.kind == kind).map(Stored::value).collect();
+        let items: Vec<Value> = state.objects.iter().filter(|it| it.kind == kind).map(StoredObject::to_json).collect();
         (200, json!({"items": items, "has_more": false, "at_rev": state.revision}))
     }
 
     fn watch(&self, kind: &str, query: &str) -> (u16, Value) {
-        let number = |key: &str| {
+        let query_number = |key: &str| {
             let pair = query.split('&').find_map(|it| it.strip_prefix(key)?.strip_prefix('='));
             pair.and_then(|it| it.parse::<u64>().ok()).unwrap_or(0)
         };
-        let (from, deadline) = (number("watch"), Instant::now() + Duration::from_millis(number("wait_ms")));
+        let (from, deadline) = (query_number("watch"), Instant::now() + Duration::from_millis(query_number("wait_ms")));
         let mut state = self.lock();
         let era = state.era;
         loop {
             if state.era != era {
-                return CUT_OFF;
+                return NO_RESPONSE;
             }
-            if from < state.oldest || from > state.revision {
+            if from < state.oldest_watchable || from > state.revision {
                 return (410, Value::Null);
             }
-            let news = state.objects.iter().filter(|it| it.kind == kind && it.revision > from);
-            let events: Vec<Value> = news.map(|it| json!({"object": it.value(), "is_deleted": false})).collect();
+            let changed = state.objects.iter().filter(|it| it.kind == kind && it.revision > from);
+            let events: Vec<Value> = changed.map(|it| json!({"object": it.to_json(), "is_deleted": false})).collect();
             let left = deadline.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 return (200, json!({"events": events, "at_rev": state.revision}));
