--- a/standins/src/platform/soak/callers.rs
+++ b/standins/src/platform/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that use their open connections until the other side is gone.
+//! Callers that send requests one after the other and keep their connection until the proxy closes it.
 
 use std::{
     io::{BufReader, Write as _},
@@ -12,40 +12,40 @@
 
 use crate::platform::{caller::CallerRequest, http, site::HOST};
 
-/// How long a caller waits; more than the routes' timeout.
+/// Deadline of each request; longer than the routes' timeout of two seconds.
 const DEADLINE: Duration = Duration::from_secs(3);
-/// A caller's answer is not coming after this.
-const SILENCE: Duration = Duration::from_secs(20);
-/// The pause after a connection that could not be opened.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Read timeout; a response isn't expected any more after this.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause after a failed attempt to connect.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How a refusal begins of a request that ends its endpoints.
-const HELD_BACK: &[u8] = b"held back";
+/// Prefix of the response body when a request is refused because it is quarantined.
+const QUARANTINE_PREFIX: &[u8] = b"held back";
 
-/// What a caller learnt of one request.
+/// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// An answer.
-    Told {
-        /// Its status.
+    /// A response came.
+    Response {
+        /// Status of the response.
         status: u16,
-        /// Whether it is the endpoint's whole answer to this request.
-        genuine: bool,
-        /// Whether it was refused as one that ends its endpoints.
-        held_back: bool,
+        /// Whether it is the endpoint's complete response to this request.
+        from_endpoint: bool,
+        /// Whether the request was refused because it is quarantined.
+        quarantined: bool,
     },
-    /// The connection ended without one.
+    /// The connection ended without a complete response.
     Closed,
-    /// Nothing came.
+    /// No complete response came within the read timeout.
     Silent,
 }
 
-/// One request.
+/// One request and its outcome.
 #[derive(Debug, Clone)]
 pub(super) struct Record {
     pub(super) request: String,
     pub(super) idempotent: bool,
-    /// The proxy it was sent to, by place.
+    /// Index of the proxy that it was sent to.
     pub(super) proxy: usize,
     pub(super) line: String,
     pub(super) sent: Instant,
@@ -53,7 +53,7 @@
     pub(super) outcome: Outcome,
 }
 
-/// One caller of one proxy.
+/// A caller of one proxy.
 pub(super) struct Caller {
     name: String,
     rng: SmallRng,
@@ -67,19 +67,19 @@
         Self { name: format!("{seed:x}-{number:x}"), rng, address, proxy }
     }
 
-    /// Sends requests, one after the other, until it is over.
-    pub(super) fn run(mut self, over: &AtomicBool) -> Vec<Record> {
+    /// Sends requests, one after the other, until `stop` is set; returns their records.
+    pub(super) fn run(mut self, stop: &AtomicBool) -> Vec<Record> {
         let mut records = Vec::new();
-        let mut open: Option<BufReader<TcpStream>> = None;
+        let mut idle_connection: Option<BufReader<TcpStream>> = None;
         for number in 0.. {
-            if over.load(Ordering::Acquire) {
+            if stop.load(Ordering::Acquire) {
                 break;
             }
             thread::sleep(Duration::from_millis(self.rng.random_range(5..60)));
-            let mut stream = match open.take().map_or_else(|| self.connect(), Ok) {
+            let mut stream = match idle_connection.take().map_or_else(|| self.connect(), Ok) {
                 Ok(it) => it,
                 Err(_) => {
-                    thread::sleep(PAUSE);
+                    thread::sleep(RECONNECT_PAUSE);
                     continue;
                 }
             };
@@ -87,11 +87,11 @@
             let line = if idempotent { format!("GET /read/{number}") } else { format!("POST /write/{number}") };
             let request = format!("{}-{number:x}", self.name);
             let sent = Instant::now();
-            let (outcome, kept) = exchange(&mut stream, &line, &request);
+            let (outcome, reusable) = exchange(&mut stream, &line, &request);
             let ended = Instant::now();
             records.push(Record { request, idempotent, proxy: self.proxy, line, sent, ended, outcome });
-            if kept {
-                open = Some(stream);
+            if reusable {
+                idle_connection = Some(stream);
             }
         }
         records
@@ -104,27 +104,27 @@
     /// Opens a connection to a proxy.
     pub(super) fn connect_to(address: SocketAddr) -> std::io::Result<BufReader<TcpStream>> {
         let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
-        stream.set_read_timeout(Some(SILENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(BufReader::new(stream))
     }
 }
 
-/// Sends a request and reads its answer; says whether the connection may be used again.
+/// Sends a request and reads the response; the flag says whether the connection may be used again.
 pub(super) fn exchange(stream: &mut BufReader<TcpStream>, line: &str, request: &str) -> (Outcome, bool) {
     let body: &[u8] = if line.starts_with("POST") { request.as_bytes() } else { b"" };
-    let call = CallerRequest { line, host: HOST, request, deadline: DEADLINE, body };
-    if stream.get_mut().write_all(&call.encode()).is_err() {
+    let req = CallerRequest { line, host: HOST, request, deadline: DEADLINE, body };
+    if stream.get_mut().write_all(&req.encode()).is_err() {
         return (Outcome::Closed, false);
     }
     match http::read_message(stream) {
-        Ok(Some(answer)) => {
-            let status = answer.status();
-            let genuine = answer.header("x-response-seal") == Some(&format!("seal-{request}"))
-                && answer.header("x-request-id") == Some(request)
-                && (status != 200 || answer.body.ends_with(format!(" {request}").as_bytes()));
-            let kept = answer.header("connection") != Some("close");
-            let held_back = answer.body.starts_with(HELD_BACK);
-            (Outcome::Told { status, genuine, held_back }, kept)
+        Ok(Some(resp)) => {
+            let status = resp.status();
+            let from_endpoint = resp.header("x-response-seal") == Some(&format!("seal-{request}"))
+                && resp.header("x-request-id") == Some(request)
+                && (status != 200 || resp.body.ends_with(format!(" {request}").as_bytes()));
+            let reusable = resp.header("connection") != Some("close");
+            let quarantined = resp.body.starts_with(QUARANTINE_PREFIX);
+            (Outcome::Response { status, from_endpoint, quarantined }, reusable)
         }
         Ok(None) => (Outcome::Closed, false),
         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => (Outcome::Silent, false),
--- a/standins/src/platform/soak/faults.rs
+++ b/standins/src/platform/soak/faults.rs
@@ -1,4 +1,5 @@
-//! The faults: drawn from the seed, in series and overlapping.
+//! Draws a schedule of faults from the seed, some of them overlapping, and injects them. Records the periods in which
+//! the checks have to allow for a fault.
 
 use std::{
     io, thread,
@@ -18,14 +19,14 @@
     relay::{Impairment, Relay},
 };
 
-/// The pause between the beginnings of faults, in milliseconds.
-const GAP: std::ops::Range<u64> = 100..1_500;
-/// How long faults last, in milliseconds.
-const LENGTH: std::ops::Range<u64> = 50..4_000;
-/// How long a stopping proxy may take: its grace in the stand-ins' settings, and what a busy machine adds.
-const GRACE: Duration = Duration::from_secs(3 + 2);
+/// Time between the starts of faults, in milliseconds.
+const START_INTERVAL_MS: std::ops::Range<u64> = 100..1_500;
+/// Duration of a fault, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 50..4_000;
+/// Time that a stopping proxy may take: `grace_s` of its settings and a margin for a busy machine.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3 + 2);
 
-/// Which connections of a proxy a relay is for.
+/// Selects one of the relays around a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
     Peers,
@@ -34,8 +35,9 @@
 }
 
 impl Side {
+    /// The selected relay.
     fn of(self, relays: &Option<Relays>) -> &Relay {
-        let relays = relays.as_ref().expect("a soak's proxies stand between relays");
+        let relays = relays.as_ref().expect("a soak's proxies have relays");
         match self {
             Self::Peers => &relays.peers,
             Self::Endpoint => &relays.endpoint,
@@ -44,40 +46,40 @@
     }
 }
 
-/// A fault; where it strikes is drawn beside it.
+/// A fault; the proxy that it applies to is kept in its [`FaultEvent`]. A verbose soak prints the names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// The proxy is killed and comes back.
+    /// The proxy is killed, and started again at the end.
     Kill,
-    /// The proxy stands still and goes on.
+    /// The proxy is suspended (SIGSTOP), and resumed at the end.
     Pause,
-    /// The proxy is told to stop, as often as this, and comes back.
+    /// The proxy gets SIGTERM this many times, and is started again at the end.
     Stop(u32),
-    /// The proxy is told that its settings changed.
+    /// The proxy gets SIGHUP and reads its settings again.
     Reload,
     /// The endpoint misbehaves.
     Endpoint(EndpointMode),
-    /// The endpoint says that it leaves; then another comes in its place.
+    /// The endpoint announces that it drains; at the end another incarnation replaces it.
     Leave,
-    /// Another endpoint takes the address without a word.
+    /// Another incarnation takes the endpoint's address without any notice of the end of the former.
     Replace,
     /// The store misbehaves.
     Store(StoreMode),
-    /// The store forgets its history.
+    /// The store discards its history, so that watches have to list again.
     Compact,
-    /// A new configuration.
+    /// The configuration is replaced.
     Change,
-    /// The weather between two ends.
+    /// A relay delays or blocks traffic.
     Weather(Side, Impairment),
-    /// Open connections go silent for good.
+    /// Open connections of a relay carry nothing more.
     Silence(Side),
-    /// Open connections are reset.
+    /// Open connections of a relay are reset.
     Reset(Side),
 }
 
 impl Fault {
     fn draw(rng: &mut SmallRng) -> Self {
-        const MODES: [EndpointMode; 9] = [
+        const ENDPOINT_MODES: [EndpointMode; 9] = [
             EndpointMode::FailsFast,
             EndpointMode::FailsSlowly,
             EndpointMode::Sheds,
@@ -88,24 +90,24 @@
             EndpointMode::Unsealed,
             EndpointMode::SaysMore,
         ];
-        const STORE: [StoreMode; 3] = [StoreMode::Busy, StoreMode::Reset, StoreMode::LosesAnswers];
+        const STORE_MODES: [StoreMode; 3] = [StoreMode::Busy, StoreMode::Reset, StoreMode::LosesAnswers];
         const SIDES: [Side; 3] = [Side::Peers, Side::Endpoint, Side::Store];
-        let side = *SIDES.choose(rng).expect("there are some");
+        let side = *SIDES.choose(rng).expect("the list is not empty");
         match rng.random_range(0..16) {
             0 | 1 => Self::Kill,
             2 => Self::Pause,
             3 | 4 => Self::Stop(rng.random_range(1..3)),
             5 => Self::Reload,
-            6 | 7 => Self::Endpoint(*MODES.choose(rng).expect("there are some")),
+            6 | 7 => Self::Endpoint(*ENDPOINT_MODES.choose(rng).expect("the list is not empty")),
             8 => Self::Leave,
             9 => Self::Replace,
-            10 => Self::Store(*STORE.choose(rng).expect("there are some")),
+            10 => Self::Store(*STORE_MODES.choose(rng).expect("the list is not empty")),
             11 => Self::Compact,
             12 => Self::Change,
             13 => {
                 let delay = Impairment::Delayed(Duration::from_millis(rng.random_range(5..300)));
-                let weathers = [delay, Impairment::CutTo, Impairment::CutFrom];
-                Self::Weather(side, *weathers.choose(rng).expect("there are some"))
+                let impairments = [delay, Impairment::CutTo, Impairment::CutFrom];
+                Self::Weather(side, *impairments.choose(rng).expect("the list is not empty"))
             }
             14 => Self::Silence(side),
             _ => Self::Reset(side),
@@ -114,11 +116,12 @@
 }
 
 impl Fault {
-    /// Whom it troubles so that news may not reach it in time: the proxy `at`, or the store.
-    fn troubles(self, at: usize) -> Option<Option<usize>> {
+    /// What the fault may keep from sending or receiving changes in time: `Some(Some(index))` for the proxy `index`,
+    /// `Some(None)` for the store, `None` for nothing.
+    fn delays_changes(self, index: usize) -> Option<Option<usize>> {
         match self {
             Self::Kill | Self::Pause | Self::Stop(_) | Self::Weather(..) | Self::Silence(_) | Self::Reset(_) => {
-                Some(Some(at))
+                Some(Some(index))
             }
             Self::Store(_) | Self::Compact => Some(None),
             Self::Reload | Self::Endpoint(_) | Self::Leave | Self::Replace | Self::Change => None,
@@ -126,218 +129,222 @@
     }
 }
 
-/// One end of a fault's time.
-struct Cue {
+/// Start or end of a fault in the schedule.
+struct FaultEvent {
     at: Duration,
     fault: Fault,
     proxy: usize,
-    begins: bool,
+    is_start: bool,
 }
 
-/// A time in which a proxy can't be held to its promises on open connections.
+/// Period in which a proxy may lose responses, because it was killed or suspended.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Disturbed {
+pub(super) struct DisturbedPeriod {
     pub(super) proxy: usize,
     pub(super) from: Instant,
     pub(super) to: Instant,
 }
 
-/// A time in which a proxy, or the store, is in trouble.
+/// Period in which a proxy or the store may not send or receive changes in time.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Troubled {
-    /// `None` for the store.
+pub(super) struct FaultPeriod {
+    /// Index of the proxy; `None` for the store.
     pub(super) proxy: Option<usize>,
     pub(super) from: Instant,
-    /// `None` while it lasts.
+    /// `None` until the fault ends.
     pub(super) to: Option<Instant>,
 }
 
-/// What was played, for the promises' check.
-pub(super) struct Played {
-    /// The last version of the configuration.
+/// Record of the injected faults, which the checks take into account.
+pub(super) struct FaultRecord {
+    /// Version of the last configuration.
     pub(super) version: u32,
     pub(super) crashes: usize,
-    pub(super) disturbed: Vec<Disturbed>,
-    pub(super) troubled: Vec<Troubled>,
-    pub(super) left: Vec<Left>,
+    pub(super) disturbances: Vec<DisturbedPeriod>,
+    pub(super) fault_periods: Vec<FaultPeriod>,
+    pub(super) draining_periods: Vec<DrainingPeriod>,
 }
 
-/// An endpoint whose leaving was acknowledged, until another took its place.
+/// Period from the acknowledgement that an endpoint is draining until another incarnation replaces it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Left {
+pub(super) struct DrainingPeriod {
     pub(super) proxy: usize,
     pub(super) from: Instant,
     pub(super) to: Option<Instant>,
 }
 
-/// Plays the faults on a deployment.
-pub(super) struct Stage<'a> {
+/// Injects the faults into a deployment.
+pub(super) struct FaultInjector<'a> {
     options: &'a SoakOptions,
     site: &'a mut Site,
     rng: SmallRng,
     version: u32,
-    endpoints: u32,
+    last_instance: u32,
     crashes: usize,
-    disturbed: Vec<Disturbed>,
-    troubled: Vec<Troubled>,
-    left: Vec<Left>,
-    /// Proxies that were told to end.
-    down: Vec<bool>,
+    disturbances: Vec<DisturbedPeriod>,
+    fault_periods: Vec<FaultPeriod>,
+    draining_periods: Vec<DrainingPeriod>,
+    /// By proxy: whether it was killed or told to stop, and not started again yet.
+    expected_down: Vec<bool>,
 }
 
-impl<'a> Stage<'a> {
+impl<'a> FaultInjector<'a> {
     pub(super) fn new(options: &'a SoakOptions, site: &'a mut Site) -> Self {
-        let down = vec![false; site.proxies.len()];
+        let expected_down = vec![false; site.proxies.len()];
         Self {
             options,
             site,
             rng: SmallRng::seed_from_u64(options.seed),
             version: 1,
-            endpoints: 1_000,
+            last_instance: 1_000,
             crashes: 0,
-            disturbed: Vec::new(),
-            troubled: Vec::new(),
-            left: Vec::new(),
-            down,
+            disturbances: Vec::new(),
+            fault_periods: Vec::new(),
+            draining_periods: Vec::new(),
+            expected_down,
         }
     }
 
-    /// Plays all faults; everything is mended at the end.
-    pub(super) fn play(&mut self) -> io::Result<()> {
+    /// Injects all faults and ends each of them. Fails if a proxy can't be started again.
+    pub(super) fn run(&mut self) -> io::Result<()> {
         let start = Instant::now();
-        for cue in self.script() {
-            thread::sleep(cue.at.saturating_sub(start.elapsed()));
-            self.count_crashes()?;
+        for it in self.draw_schedule() {
+            thread::sleep(it.at.saturating_sub(start.elapsed()));
+            self.restart_crashed_proxies()?;
             if self.options.verbose {
-                let word = if cue.begins { "begins" } else { "ends" };
-                println!("{:6.2} s  proxy {}: {:?} {word}", start.elapsed().as_secs_f64(), cue.proxy + 1, cue.fault);
+                let word = if it.is_start { "begins" } else { "ends" };
+                println!("{:6.2} s  proxy {}: {:?} {word}", start.elapsed().as_secs_f64(), it.proxy + 1, it.fault);
             }
-            if cue.begins { self.begin(cue.fault, cue.proxy) } else { self.end(cue.fault, cue.proxy)? }
+            if it.is_start { self.start_fault(it.fault, it.proxy) } else { self.end_fault(it.fault, it.proxy)? }
         }
-        self.count_crashes()
+        self.restart_crashed_proxies()
     }
 
-    /// What was played.
-    pub(super) fn close(self) -> Played {
-        let Self { version, crashes, disturbed, troubled, left, .. } = self;
-        Played { version, crashes, disturbed, troubled, left }
+    /// Returns the record of the injected faults.
+    pub(super) fn into_record(self) -> FaultRecord {
+        let Self { version, crashes, disturbances, fault_periods, draining_periods, .. } = self;
+        FaultRecord { version, crashes, disturbances, fault_periods, draining_periods }
     }
 
-    fn script(&mut self) -> Vec<Cue> {
-        let mut cues = Vec::new();
+    fn draw_schedule(&mut self) -> Vec<FaultEvent> {
+        let mut schedule = Vec::new();
         let mut at = Duration::ZERO;
         loop {
-            at += Duration::from_millis(self.rng.random_range(GAP));
+            at += Duration::from_millis(self.rng.random_range(START_INTERVAL_MS));
             if at >= self.options.duration {
                 break;
             }
             let fault = Fault::draw(&mut self.rng);
             let proxy = self.rng.random_range(0..self.options.proxies);
-            let end = at + Duration::from_millis(self.rng.random_range(LENGTH));
-            cues.push(Cue { at, fault, proxy, begins: true });
-            cues.push(Cue { at: end, fault, proxy, begins: false });
+            let end = at + Duration::from_millis(self.rng.random_range(DURATION_MS));
+            schedule.push(FaultEvent { at, fault, proxy, is_start: true });
+            schedule.push(FaultEvent { at: end, fault, proxy, is_start: false });
         }
-        cues.sort_by_key(|it| it.at);
-        cues
+        schedule.sort_by_key(|it| it.at);
+        schedule
     }
 
-    fn begin(&mut self, fault: Fault, at: usize) {
+    fn start_fault(&mut self, fault: Fault, index: usize) {
         let now = Instant::now();
-        if let Some(proxy) = fault.troubles(at) {
-            self.troubled.push(Troubled { proxy, from: now, to: None });
+        if let Some(proxy) = fault.delays_changes(index) {
+            self.fault_periods.push(FaultPeriod { proxy, from: now, to: None });
         }
-        let proxy = &mut self.site.proxies[at];
+        let proxy = &mut self.site.proxies[index];
         match fault {
             Fault::Kill => {
-                self.down[at] = true;
+                self.expected_down[index] = true;
                 proxy.kill();
             }
             Fault::Pause => proxy.signal(Signal::STOP),
             Fault::Stop(times) => {
-                self.down[at] = true;
+                self.expected_down[index] = true;
                 (0..times).for_each(|_| proxy.signal(Signal::TERM));
             }
             Fault::Reload => proxy.reload(),
             Fault::Endpoint(mode) => proxy.endpoint.set_mode(mode),
             Fault::Leave => {
                 if proxy.endpoint.announce(proxy.announcements, true).is_ok_and(|it| it == 200) {
-                    self.left.push(Left { proxy: at, from: Instant::now(), to: None });
+                    self.draining_periods.push(DrainingPeriod { proxy: index, from: Instant::now(), to: None });
                 }
             }
-            Fault::Replace => self.replace(at),
+            Fault::Replace => self.replace_endpoint(index),
             Fault::Store(mode) => self.site.store.set_mode(mode),
             Fault::Compact => self.site.store.compact(),
             Fault::Change => {
                 self.version += 1;
                 self.site.store.put_config(configuration(self.version));
             }
-            Fault::Weather(side, weather) => side.of(&proxy.relays).set_impairment(weather),
+            Fault::Weather(side, impairment) => side.of(&proxy.relays).set_impairment(impairment),
             Fault::Silence(side) => side.of(&proxy.relays).silence_open_connections(),
             Fault::Reset(side) => side.of(&proxy.relays).reset_open_connections(),
         }
         if matches!(fault, Fault::Kill | Fault::Pause) {
-            self.disturbed.push(Disturbed { proxy: at, from: now, to: now + GRACE });
+            self.disturbances.push(DisturbedPeriod { proxy: index, from: now, to: now + STOP_TIMEOUT });
         }
     }
 
-    fn end(&mut self, fault: Fault, at: usize) -> io::Result<()> {
-        let proxy = &mut self.site.proxies[at];
+    fn end_fault(&mut self, fault: Fault, index: usize) -> io::Result<()> {
+        let proxy = &mut self.site.proxies[index];
         match fault {
-            Fault::Kill | Fault::Stop(_) => self.bring_back(at)?,
+            Fault::Kill | Fault::Stop(_) => self.restart_proxy(index)?,
             Fault::Pause => {
                 proxy.signal(Signal::CONT);
-                // Cues wait for proxies that stop, so a pause may last longer than it should.
-                if let Some(it) = self.disturbed.iter_mut().rfind(|it| it.proxy == at) {
+                // The schedule waits for proxies that stop, so a pause may last longer than planned.
+                if let Some(it) = self.disturbances.iter_mut().rfind(|it| it.proxy == index) {
                     it.to = it.to.max(Instant::now());
                 }
             }
             Fault::Endpoint(_) => proxy.endpoint.set_mode(EndpointMode::Good),
-            Fault::Leave => self.replace(at),
+            Fault::Leave => self.replace_endpoint(index),
             Fault::Store(_) => self.site.store.set_mode(StoreMode::Good),
             Fault::Weather(side, _) => side.of(&proxy.relays).set_impairment(Impairment::None),
             Fault::Reload | Fault::Replace | Fault::Compact | Fault::Change | Fault::Silence(_) | Fault::Reset(_) => (),
         }
-        if let Some(proxy) = fault.troubles(at)
-            && let Some(it) = self.troubled.iter_mut().find(|it| it.proxy == proxy && it.to.is_none())
+        if let Some(proxy) = fault.delays_changes(index)
+            && let Some(it) = self.fault_periods.iter_mut().find(|it| it.proxy == proxy && it.to.is_none())
         {
             it.to = Some(Instant::now());
         }
         Ok(())
     }
 
-    /// Another incarnation takes the endpoint's address.
-    fn replace(&mut self, at: usize) {
-        self.endpoints += 1;
-        self.site.proxies[at].endpoint.replace(&format!("i-{}", self.endpoints));
+    /// Replaces the endpoint by another incarnation at the same address.
+    fn replace_endpoint(&mut self, index: usize) {
+        self.last_instance += 1;
+        self.site.proxies[index].endpoint.replace(&format!("i-{}", self.last_instance));
         let now = Instant::now();
-        self.left.iter_mut().filter(|it| it.proxy == at && it.to.is_none()).for_each(|it| it.to = Some(now));
+        self.draining_periods
+            .iter_mut()
+            .filter(|it| it.proxy == index && it.to.is_none())
+            .for_each(|it| it.to = Some(now));
     }
 
-    /// Starts a proxy anew that was told to end, once it has.
-    fn bring_back(&mut self, at: usize) -> io::Result<()> {
-        let proxy = &mut self.site.proxies[at];
-        let deadline = Instant::now() + GRACE;
-        // A pause that overlaps would keep it from ending.
+    /// Starts a proxy again that was killed or told to stop. Waits for its exit first, and kills it if that takes too
+    /// long.
+    fn restart_proxy(&mut self, index: usize) -> io::Result<()> {
+        let proxy = &mut self.site.proxies[index];
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        // An overlapping pause would keep it from exiting.
         proxy.signal(Signal::CONT);
         while !proxy.has_exited() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
         }
         let now = Instant::now();
         if !proxy.has_exited() {
-            // The platform kills what does not end in time.
-            self.disturbed.push(Disturbed { proxy: at, from: now - GRACE, to: now + GRACE });
+            // The platform kills a proxy that doesn't exit in time, so responses may be lost.
+            self.disturbances.push(DisturbedPeriod { proxy: index, from: now - STOP_TIMEOUT, to: now + STOP_TIMEOUT });
         }
         proxy.restart()?;
-        self.down[at] = false;
+        self.expected_down[index] = false;
         Ok(())
     }
 
-    /// A proxy that ended without being told to.
-    fn count_crashes(&mut self) -> io::Result<()> {
-        for at in 0..self.site.proxies.len() {
-            if !self.down[at] && self.site.proxies[at].has_exited() {
+    /// Counts and restarts proxies that exited without being told to.
+    fn restart_crashed_proxies(&mut self) -> io::Result<()> {
+        for index in 0..self.site.proxies.len() {
+            if !self.expected_down[index] && self.site.proxies[index].has_exited() {
                 self.crashes += 1;
-                self.site.proxies[at].restart()?;
+                self.site.proxies[index].restart()?;
             }
         }
         Ok(())
--- a/standins/src/platform/soak/promises.rs
+++ b/standins/src/platform/soak/promises.rs
@@ -1,4 +1,5 @@
-//! The promises, checked against what callers and endpoints saw.
+//! Checks the promises of the fleet against the records of callers and endpoints: which requests ran, where and how
+//! often, and which responses their callers got.
 
 #[cfg(test)]
 mod tests;
@@ -11,89 +12,89 @@
 use super::{
     callers::{Outcome, Record},
     crashing,
-    faults::{Disturbed, Left, Troubled},
+    faults::{DisturbedPeriod, DrainingPeriod, FaultPeriod},
 };
 use crate::platform::endpoint::Arrival;
 
-/// How many broken promises are printed in full.
-const EXAMPLES: usize = 5;
-/// After an acknowledged leaving, work may still be on its way for this long.
-const DRAIN: Duration = Duration::from_secs(2);
-/// A connection that ends this close to a disturbance may have ended for it.
-const NEAR: Duration = Duration::from_millis(300);
+/// Number of violations that are printed in full.
+const MAX_VIOLATIONS: usize = 5;
+/// Time for which requests may still arrive after an endpoint's draining was acknowledged.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
+/// A connection that ends within this time of a disturbance may have ended because of it.
+const DISTURBANCE_MARGIN: Duration = Duration::from_millis(300);
 
-/// All that was seen.
-pub(super) struct Seen {
+/// Everything that was recorded during a soak.
+pub(super) struct Observations {
     pub(super) records: Vec<Record>,
-    /// By proxy.
+    /// Arrivals at the endpoints, by proxy.
     pub(super) arrivals: Vec<Vec<Arrival>>,
     /// The services of the endpoints, by proxy.
     pub(super) services: Vec<String>,
-    pub(super) disturbed: Vec<Disturbed>,
-    pub(super) troubled: Vec<Troubled>,
-    pub(super) left: Vec<Left>,
+    pub(super) disturbances: Vec<DisturbedPeriod>,
+    pub(super) fault_periods: Vec<FaultPeriod>,
+    pub(super) draining_periods: Vec<DrainingPeriod>,
     pub(super) reverts: usize,
     pub(super) crashes: usize,
     pub(super) converged: bool,
 }
 
-/// What the check found. All but the first three must be zero.
+/// Findings of the checks. All counts but the first three must be zero.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProxySoakReport {
-    /// Requests.
+    /// Requests that callers sent.
     pub requests: usize,
-    /// Those with an endpoint's good answer.
+    /// Requests with the complete 200 of an endpoint.
     pub served: usize,
-    /// Those that may have run, for all their callers know.
+    /// Requests whose callers don't know whether they ran.
     pub unknown: usize,
-    /// Work that must not run twice, and did.
-    pub twice: usize,
-    /// Told that it did not run, but it did.
+    /// Non-idempotent requests that ran more than once.
+    pub ran_twice: usize,
+    /// Non-idempotent requests that were refused as not run, but ran.
     pub refused_but_ran: usize,
-    /// Answers that are not the endpoint's whole answer to their request.
-    pub mixed: usize,
-    /// Work that nobody asked for, or that was changed on the way.
-    pub unasked: usize,
-    /// Proper requests that were denied.
+    /// Responses with status 200 that aren't the endpoint's complete response to their request.
+    pub wrong_answers: usize,
+    /// Runs of requests that no caller sent, or that were changed on the way.
+    pub unrequested: usize,
+    /// Valid requests that got a 4xx status.
     pub denied: usize,
-    /// Work that began after its endpoint's leaving was acknowledged.
-    pub after_leaving: usize,
-    /// Connections that ended without an answer to what had been passed on.
-    pub lost: usize,
-    /// Runs of a request that ends its endpoints after it had to be known, beyond what is allowed.
-    pub late_ends: usize,
-    /// Other requests that were refused as if they ended their endpoints.
-    pub held_back: usize,
-    /// Versions that went back.
+    /// Runs that started too long after the endpoint's draining was acknowledged.
+    pub started_after_leaving: usize,
+    /// Requests that ran and got no response, without a disturbance that explains it.
+    pub lost_responses: usize,
+    /// Runs of the crashing request after it had to be quarantined, beyond the allowed number.
+    pub late_crash_runs: usize,
+    /// Other requests that were refused as quarantined.
+    pub wrongly_quarantined: usize,
+    /// Decreases of a proxy's configuration version.
     pub reverts: usize,
-    /// Proxies that ended of themselves.
+    /// Proxies that exited without being told to.
     pub crashes: usize,
-    /// Whether the fleet was not whole again in time.
-    pub scattered: bool,
-    /// What broke a promise.
-    pub examples: Vec<Box<str>>,
+    /// Whether the fleet failed to converge in time after the last fault.
+    pub not_converged: bool,
+    /// The first violations, with the name of the promise.
+    pub violations: Vec<Box<str>>,
 }
 
 impl ProxySoakReport {
-    /// Whether every promise was kept.
+    /// Whether no violation was found.
     pub fn passed(&self) -> bool {
-        let broken = self.twice
+        let violations = self.ran_twice
             + self.refused_but_ran
-            + self.mixed
-            + self.unasked
+            + self.wrong_answers
+            + self.unrequested
             + self.denied
-            + self.after_leaving
-            + self.lost
-            + self.late_ends
-            + self.held_back
+            + self.started_after_leaving
+            + self.lost_responses
+            + self.late_crash_runs
+            + self.wrongly_quarantined
             + self.reverts
             + self.crashes;
-        broken == 0 && !self.scattered
+        violations == 0 && !self.not_converged
     }
 
-    fn note(&mut self, promise: &str, what: &impl fmt::Debug) {
-        if self.examples.len() < EXAMPLES {
-            self.examples.push(format!("{promise}: {what:?}").into());
+    fn add_violation(&mut self, promise: &str, subject: &impl fmt::Debug) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(format!("{promise}: {subject:?}").into());
         }
     }
 }
@@ -107,105 +108,111 @@
             self.requests,
             self.served,
             self.unknown,
-            self.twice,
+            self.ran_twice,
             self.refused_but_ran,
-            self.mixed,
-            self.unasked,
+            self.wrong_answers,
+            self.unrequested,
             self.denied,
-            self.after_leaving,
-            self.lost,
-            self.late_ends,
-            self.held_back,
+            self.started_after_leaving,
+            self.lost_responses,
+            self.late_crash_runs,
+            self.wrongly_quarantined,
             self.reverts,
             self.crashes,
-            self.scattered
+            self.not_converged
         )?;
-        self.examples.iter().try_for_each(|it| write!(f, "\n  {it}"))
+        self.violations.iter().try_for_each(|it| write!(f, "\n  {it}"))
     }
 }
 
-/// Checks the promises.
-pub(super) fn judge(mut seen: Seen) -> ProxySoakReport {
-    seen.records.sort_by(|a, b| a.request.cmp(&b.request));
-    let mut verdict = ProxySoakReport {
-        requests: seen.records.len(),
-        reverts: seen.reverts,
-        crashes: seen.crashes,
-        scattered: !seen.converged,
+/// Runs all checks.
+pub(super) fn check(mut observations: Observations) -> ProxySoakReport {
+    observations.records.sort_by(|a, b| a.request.cmp(&b.request));
+    let mut report = ProxySoakReport {
+        requests: observations.records.len(),
+        reverts: observations.reverts,
+        crashes: observations.crashes,
+        not_converged: !observations.converged,
         ..ProxySoakReport::default()
     };
-    check_arrivals(&seen, &mut verdict);
-    verdict.late_ends = crashing::late_runs(&seen.arrivals, &seen.records, &seen.troubled);
-    let mut runs: Vec<&str> = seen.arrivals.iter().flatten().filter(|it| it.ran).map(|it| &*it.request).collect();
+    check_arrivals(&observations, &mut report);
+    report.late_crash_runs =
+        crashing::late_runs(&observations.arrivals, &observations.records, &observations.fault_periods);
+    let mut runs: Vec<&str> =
+        observations.arrivals.iter().flatten().filter(|it| it.ran).map(|it| &*it.request).collect();
     runs.sort_unstable();
-    for record in &seen.records {
+    for record in &observations.records {
         let from = runs.partition_point(|it| **it < *record.request);
         let ran = runs[from..].iter().take_while(|it| **it == record.request).count();
-        check_record(record, ran, &seen.disturbed, &mut verdict);
+        check_record(record, ran, &observations.disturbances, &mut report);
     }
-    verdict
+    report
 }
 
-fn check_record(record: &Record, ran: usize, disturbed: &[Disturbed], verdict: &mut ProxySoakReport) {
+fn check_record(record: &Record, ran: usize, disturbances: &[DisturbedPeriod], report: &mut ProxySoakReport) {
     if !record.idempotent && ran > 1 {
-        verdict.twice += 1;
-        verdict.note("ran twice", &(record, ran));
+        report.ran_twice += 1;
+        report.add_violation("ran twice", &(record, ran));
     }
-    if matches!(record.outcome, Outcome::Told { held_back: true, .. }) && record.line != crashing::LINE {
-        verdict.held_back += 1;
-        verdict.note("held back, though it ends nothing", record);
+    if matches!(record.outcome, Outcome::Response { quarantined: true, .. }) && record.line != crashing::REQUEST_LINE {
+        report.wrongly_quarantined += 1;
+        report.add_violation("held back, though it ends nothing", record);
     }
     match record.outcome {
-        Outcome::Told { status: 429 | 503 | 408 | 421, .. } if !record.idempotent && ran > 0 => {
-            verdict.refused_but_ran += 1;
-            verdict.note("refused, but ran", record);
+        Outcome::Response { status: 429 | 503 | 408 | 421, .. } if !record.idempotent && ran > 0 => {
+            report.refused_but_ran += 1;
+            report.add_violation("refused, but ran", record);
         }
-        Outcome::Told { status: 200, genuine: true, .. } => verdict.served += 1,
-        Outcome::Told { status: 200, genuine: false, .. } => {
-            verdict.mixed += 1;
-            verdict.note("not the endpoint's answer", record);
+        Outcome::Response { status: 200, from_endpoint: true, .. } => report.served += 1,
+        Outcome::Response { status: 200, from_endpoint: false, .. } => {
+            report.wrong_answers += 1;
+            report.add_violation("not the endpoint's answer", record);
         }
-        Outcome::Told { status: 400..=499, .. } => {
-            verdict.denied += 1;
-            verdict.note("denied", record);
+        Outcome::Response { status: 400..=499, .. } => {
+            report.denied += 1;
+            report.add_violation("denied", record);
         }
-        Outcome::Told { status: 502 | 504, .. } => verdict.unknown += 1,
-        Outcome::Told { .. } => (),
+        Outcome::Response { status: 502 | 504, .. } => report.unknown += 1,
+        Outcome::Response { .. } => (),
         Outcome::Closed | Outcome::Silent => {
-            verdict.unknown += 1;
-            let excused = disturbed
-                .iter()
-                .any(|it| it.proxy == record.proxy && it.from < record.ended + NEAR && record.sent < it.to + NEAR);
+            report.unknown += 1;
+            let excused = disturbances.iter().any(|it| {
+                it.proxy == record.proxy
+                    && it.from < record.ended + DISTURBANCE_MARGIN
+                    && record.sent < it.to + DISTURBANCE_MARGIN
+            });
             if ran > 0 && !excused {
-                verdict.lost += 1;
-                verdict.note("no answer to what was passed on", record);
+                report.lost_responses += 1;
+                report.add_violation("no answer to what was passed on", record);
             }
         }
     }
 }
 
-fn check_arrivals(seen: &Seen, verdict: &mut ProxySoakReport) {
-    for (proxy, arrivals) in seen.arrivals.iter().enumerate() {
+fn check_arrivals(observations: &Observations, report: &mut ProxySoakReport) {
+    for (proxy, arrivals) in observations.arrivals.iter().enumerate() {
         for arrival in arrivals.iter().filter(|it| it.ran) {
-            let asked = seen.records.binary_search_by(|it| it.request.cmp(&arrival.request));
-            let same = asked.is_ok_and(|it| {
-                let record = &seen.records[it];
+            let sender = observations.records.binary_search_by(|it| it.request.cmp(&arrival.request));
+            let unchanged = sender.is_ok_and(|it| {
+                let record = &observations.records[it];
                 let body: &[u8] = if record.idempotent { b"" } else { record.request.as_bytes() };
-                record.line == arrival.line && arrival.body == body && seen.services[record.proxy] == arrival.caller
+                record.line == arrival.line
+                    && arrival.body == body
+                    && observations.services[record.proxy] == arrival.caller
             });
-            if !same {
-                verdict.unasked += 1;
-                verdict.note("nobody asked for this", arrival);
+            if !unchanged {
+                report.unrequested += 1;
+                report.add_violation("nobody asked for this", arrival);
             }
-            if left_before(&seen.left, proxy, arrival.at) {
-                verdict.after_leaving += 1;
-                verdict.note("began after the endpoint's leaving was acknowledged", arrival);
+            if was_draining(&observations.draining_periods, proxy, arrival.at) {
+                report.started_after_leaving += 1;
+                report.add_violation("began after the endpoint's leaving was acknowledged", arrival);
             }
         }
     }
 }
 
-fn left_before(left: &[Left], proxy: usize, at: Instant) -> bool {
-    let gone = |it: &Left| it.from + DRAIN < at && it.to.is_none_or(|to| at < to);
-    left.iter().any(|it| it.proxy == proxy && gone(it))
+fn was_draining(draining_periods: &[DrainingPeriod], proxy: usize, at: Instant) -> bool {
+    let covers = |it: &DrainingPeriod| it.from + DRAIN_TIME < at && it.to.is_none_or(|to| at < to);
+    draining_periods.iter().any(|it| it.proxy == proxy && covers(it))
 }
--- a/standins/src/platform/soak/promises/tests.rs
+++ b/standins/src/platform/soak/promises/tests.rs
@@ -1,8 +1,10 @@
-//! Each promise, broken once, is found.
+//! Each check finds one violation of its own kind and allows what the faults explain.
 
 use std::time::{Duration, Instant};
 
-use super::{Disturbed, Left, Outcome, ProxySoakReport, Record, Seen, Troubled, crashing, judge};
+use super::{
+    DisturbedPeriod, DrainingPeriod, FaultPeriod, Observations, Outcome, ProxySoakReport, Record, check, crashing,
+};
 use crate::platform::endpoint::Arrival;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -25,18 +27,18 @@
     }
 }
 
-fn told(status: u16, genuine: bool) -> Outcome {
-    Outcome::Told { status, genuine, held_back: false }
+fn response(status: u16, from_endpoint: bool) -> Outcome {
+    Outcome::Response { status, from_endpoint, quarantined: false }
 }
 
-fn seen(outcome: Outcome, arrivals: Vec<Arrival>, start: Instant) -> Seen {
-    Seen {
+fn observations(outcome: Outcome, arrivals: Vec<Arrival>, start: Instant) -> Observations {
+    Observations {
         records: vec![record(outcome, start)],
         arrivals: vec![arrivals],
         services: vec!["desk".to_owned()],
-        disturbed: Vec::new(),
-        troubled: Vec::new(),
-        left: Vec::new(),
+        disturbances: Vec::new(),
+        fault_periods: Vec::new(),
+        draining_periods: Vec::new(),
         reverts: 0,
         crashes: 0,
         converged: true,
@@ -44,73 +46,85 @@
 }
 
 #[test]
-fn what_ran_once_and_was_answered_keeps_all_promises() {
+fn a_request_that_ran_once_and_got_its_response_passes() {
     let start = Instant::now();
 
-    let verdict = judge(seen(told(200, true), vec![arrival(start)], start));
+    let report = check(observations(response(200, true), vec![arrival(start)], start));
 
-    assert!(verdict.passed(), "{verdict}");
-    assert_eq!((verdict.requests, verdict.served), (1, 1));
+    assert!(report.passed(), "{report}");
+    assert_eq!((report.requests, report.served), (1, 1));
 }
 
-/// How often a promise was broken.
+/// Reads one count of a report.
 type Count = fn(&ProxySoakReport) -> usize;
 
 #[test]
-fn each_broken_promise_is_found() {
+fn each_violation_is_counted() {
     let start = Instant::now();
     let changed = Arrival { body: b"other".to_vec(), ..arrival(start) };
     let forged = Arrival { caller: "ledger".to_owned(), ..arrival(start) };
     let once = || vec![arrival(start)];
-    let left = Left { proxy: 0, from: start - 3 * SECOND, to: None };
-    let held_back = Outcome::Told { status: 503, genuine: false, held_back: true };
-    let cases: [(Seen, Count); 11] = [
-        (seen(held_back, Vec::new(), start), |it| it.held_back),
-        (seen(told(200, true), vec![arrival(start), arrival(start)], start), |it| it.twice),
-        (seen(told(503, false), once(), start), |it| it.refused_but_ran),
-        (seen(told(200, false), once(), start), |it| it.mixed),
-        (seen(told(200, true), vec![changed], start), |it| it.unasked),
-        (seen(told(200, true), vec![forged], start), |it| it.unasked),
-        (seen(told(404, false), Vec::new(), start), |it| it.denied),
-        (seen(Outcome::Closed, once(), start), |it| it.lost),
-        (Seen { left: vec![left], ..seen(told(200, true), once(), start) }, |it| it.after_leaving),
-        (Seen { reverts: 1, ..seen(told(200, true), once(), start) }, |it| it.reverts),
-        (Seen { crashes: 1, ..seen(told(200, true), once(), start) }, |it| it.crashes),
+    let draining_period = DrainingPeriod { proxy: 0, from: start - 3 * SECOND, to: None };
+    let quarantined = Outcome::Response { status: 503, from_endpoint: false, quarantined: true };
+    let cases: [(Observations, Count); 11] = [
+        (observations(quarantined, Vec::new(), start), |it| it.wrongly_quarantined),
+        (observations(response(200, true), vec![arrival(start), arrival(start)], start), |it| it.ran_twice),
+        (observations(response(503, false), once(), start), |it| it.refused_but_ran),
+        (observations(response(200, false), once(), start), |it| it.wrong_answers),
+        (observations(response(200, true), vec![changed], start), |it| it.unrequested),
+        (observations(response(200, true), vec![forged], start), |it| it.unrequested),
+        (observations(response(404, false), Vec::new(), start), |it| it.denied),
+        (observations(Outcome::Closed, once(), start), |it| it.lost_responses),
+        (
+            Observations {
+                draining_periods: vec![draining_period],
+                ..observations(response(200, true), once(), start)
+            },
+            |it| it.started_after_leaving,
+        ),
+        (Observations { reverts: 1, ..observations(response(200, true), once(), start) }, |it| it.reverts),
+        (Observations { crashes: 1, ..observations(response(200, true), once(), start) }, |it| it.crashes),
     ];
 
-    for (at, (seen, count)) in cases.into_iter().enumerate() {
-        let verdict = judge(seen);
-        assert_eq!(count(&verdict), 1, "case {at}: {verdict}");
-        assert!(!verdict.passed(), "case {at}: {verdict}");
+    for (at, (observations, count)) in cases.into_iter().enumerate() {
+        let report = check(observations);
+        assert_eq!(count(&report), 1, "case {at}: {report}");
+        assert!(!report.passed(), "case {at}: {report}");
     }
 }
 
-/// A request that ends its endpoints, which ran once a second; in trouble, or not, the proxy that took it.
+/// The crashing request runs once a second; runs that a fault may explain don't count.
 #[test]
-fn runs_of_a_request_that_ends_its_endpoints_count_once_it_had_to_be_known() {
+fn late_runs_of_the_crashing_request_count_unless_a_fault_explains_them() {
     let start = Instant::now();
     let runs = |count: u32| {
-        let ran = (0..count).map(|at| Arrival { line: crashing::LINE.to_owned(), ..arrival(start + at * SECOND) });
-        let request = Record { idempotent: true, line: crashing::LINE.to_owned(), ..record(told(502, false), start) };
-        Seen { records: vec![request], ..seen(told(502, false), ran.collect(), start) }
+        let ran =
+            (0..count).map(|at| Arrival { line: crashing::REQUEST_LINE.to_owned(), ..arrival(start + at * SECOND) });
+        let request =
+            Record { idempotent: true, line: crashing::REQUEST_LINE.to_owned(), ..record(response(502, false), start) };
+        Observations { records: vec![request], ..observations(response(502, false), ran.collect(), start) }
     };
-    let trouble = |proxy| Troubled { proxy, from: start, to: Some(start + 60 * SECOND) };
-
-    // The third is at 2 s; later than 5 s and a moment are four of ten, of twelve six.
-    assert_eq!(judge(runs(10)).late_ends, 1);
-    assert_eq!(judge(runs(12)).late_ends, 3);
-    assert_eq!(judge(Seen { troubled: vec![trouble(Some(0))], ..runs(12) }).late_ends, 0);
-    assert_eq!(judge(Seen { troubled: vec![trouble(None)], ..runs(12) }).late_ends, 0);
-    assert_eq!(judge(Seen { troubled: vec![trouble(Some(1))], ..runs(12) }).late_ends, 3);
+    let fault_period = |proxy| FaultPeriod { proxy, from: start, to: Some(start + 60 * SECOND) };
+
+    // The third run starts at 2 s, so the quarantine is due at 5.02 s. Four of ten runs are later, and six of twelve;
+    // three are allowed.
+    assert_eq!(check(runs(10)).late_crash_runs, 1);
+    assert_eq!(check(runs(12)).late_crash_runs, 3);
+    assert_eq!(check(Observations { fault_periods: vec![fault_period(Some(0))], ..runs(12) }).late_crash_runs, 0);
+    assert_eq!(check(Observations { fault_periods: vec![fault_period(None)], ..runs(12) }).late_crash_runs, 0);
+    assert_eq!(check(Observations { fault_periods: vec![fault_period(Some(1))], ..runs(12) }).late_crash_runs, 3);
 }
 
 #[test]
-fn a_killed_proxy_may_lose_its_answers_and_no_other() {
+fn only_a_killed_proxy_may_lose_responses() {
     let start = Instant::now();
-    let killed = |proxy| Disturbed { proxy, from: start, to: start + SECOND };
+    let killed = |proxy| DisturbedPeriod { proxy, from: start, to: start + SECOND };
     let lost = |proxy| {
-        let seen = Seen { disturbed: vec![killed(proxy)], ..seen(Outcome::Closed, vec![arrival(start)], start) };
-        judge(seen).lost
+        let observations = Observations {
+            disturbances: vec![killed(proxy)],
+            ..observations(Outcome::Closed, vec![arrival(start)], start)
+        };
+        check(observations).lost_responses
     };
 
     assert_eq!((lost(0), lost(1)), (0, 1));
