--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -17,7 +17,7 @@
     pub host: &'a str,
     /// Value of `X-Request-Id`; the header is left out if this is empty.
     pub request: &'a str,
-    /// Value of `X-Deadline-Ms`; the caller itself reads for five seconds longer.
+    /// Value of `X-Deadline-Ms`; the caller's own read timeout is five seconds longer.
     pub deadline: Duration,
     /// Request body.
     pub body: &'a [u8],
--- a/standins/src/platform/endpoint.rs
+++ b/standins/src/platform/endpoint.rs
@@ -35,7 +35,7 @@
     FailsSlowly,
     /// Responds with 503 and `X-Not-Executed`, without running them.
     Sheds,
-    /// Accepts them and never responds.
+    /// Runs them for 20 seconds and closes the connection without responding.
     Hangs,
     /// Runs them and resets the connection instead of responding.
     Resets,
@@ -54,7 +54,7 @@
 /// A request that arrived at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Request id.
+    /// Value of `X-Request-Id`; empty if it is missing.
     pub request: String,
     /// Method and target, separated by a space.
     pub line: String,
@@ -89,7 +89,7 @@
     down: bool,
     /// Number of starts: the first, and one after each crash.
     starts: u32,
-    /// Open connections.
+    /// Connections to shut down at a crash.
     open_connections: Vec<Weak<TcpStream>>,
     health_path: String,
     work_time: Duration,
@@ -288,7 +288,7 @@
         Ok(resp.map_or(0, |it| it.status()))
     }
 
-    /// Answers health probes at `path` only, from now on.
+    /// Responds to health probes at `path` only, from now on.
     pub fn set_health_path(&self, path: &str) {
         self.lock().health_path = path.into();
     }
