--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -82,7 +82,7 @@
         spawn_local(Rc::clone(self).maintain_links());
         spawn_local(Rc::clone(self).run_anti_entropy());
         spawn_local(Rc::clone(self).announce_versions());
-        spawn_local(Rc::clone(self).gossip_cases());
+        spawn_local(Rc::clone(self).gossip_crash_records());
         spawn_local(Rc::clone(self).discover_endpoint());
         spawn_local(Rc::clone(self).log_slot_times());
     }
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -199,7 +199,7 @@
             let pause = if is_initial { INITIAL_EXCHANGE_INTERVAL } else { EXCHANGE_INTERVAL };
             sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
             self.directory.borrow_mut().remove_expired(clock::now());
-            self.guard.remove_expired_cases();
+            self.guard.remove_expired_crash_records();
             if rand::rng().random_bool(DOWN_EXCHANGE_FRACTION) {
                 self.exchange_with_down_proxy().await;
             } else if let Some((_, link)) =
@@ -228,7 +228,7 @@
             return;
         };
         self.apply_summary(peer_summary, link);
-        self.sync_cases(peer_summary.cases_digest, link).await;
+        self.sync_crash_records(peer_summary.crash_records_digest, link).await;
         if peer_summary.digest == self.directory.borrow().digest() {
             return;
         }
@@ -248,7 +248,7 @@
             digest: self.directory.borrow().digest(),
             version: self.version(),
             confirmed_ago: self.confirmed_ago(),
-            cases_digest: self.guard.cases_digest(),
+            crash_records_digest: self.guard.crash_records_digest(),
             store_era: self.store.era(),
         }
     }
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -199,7 +199,7 @@
     /// Notified when the endpoint's standing changed.
     pub(super) standing_changed: Notify,
     /// Notified when the crash record of a request changed.
-    pub(super) cases_changed: Notify,
+    pub(super) crash_records_changed: Notify,
 }
 
 impl Guard {
@@ -235,7 +235,7 @@
             run_ended: Notify::new(),
             row_changed: Notify::new(),
             standing_changed: Notify::new(),
-            cases_changed: Notify::new(),
+            crash_records_changed: Notify::new(),
         }
     }
 
--- a/src/proxy/guard/quarantine.rs
+++ b/src/proxy/guard/quarantine.rs
@@ -15,7 +15,7 @@
 
 /// The source of a change to a crash record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::proxy) enum CaseSource {
+pub(in crate::proxy) enum CrashRecordSource {
     /// This VM's endpoint crashed while it ran the request.
     Ended,
     /// This VM's endpoint answered the request successfully.
@@ -28,7 +28,7 @@
     Trial,
 }
 
-impl CaseSource {
+impl CrashRecordSource {
     /// The name used in events.
     fn name(self) -> &'static str {
         match self {
@@ -43,7 +43,7 @@
 
 impl Guard {
     /// The crash record of a request.
-    pub fn case(&self, fingerprint: Fingerprint) -> CrashRecord {
+    pub fn crash_record(&self, fingerprint: Fingerprint) -> CrashRecord {
         self.state.borrow().quarantine.crash_record(fingerprint)
     }
 
@@ -53,15 +53,19 @@
     }
 
     /// Merges a crash record that another proxy sent along with a message.
-    pub(in crate::proxy) fn merge_case(self: &Rc<Self>, fingerprint: Fingerprint, record: CrashRecord) {
+    pub(in crate::proxy) fn merge_crash_record(self: &Rc<Self>, fingerprint: Fingerprint, record: CrashRecord) {
         let update = CrashRecordUpdate { fingerprint, record, age: Duration::ZERO };
-        self.merge_cases(&[update], CaseSource::Peer);
+        self.merge_crash_records(&[update], CrashRecordSource::Peer);
     }
 
     /// Merges crash records from `source`.
-    pub(in crate::proxy) fn merge_cases(self: &Rc<Self>, cases: &[CrashRecordUpdate], source: CaseSource) {
+    pub(in crate::proxy) fn merge_crash_records(
+        self: &Rc<Self>,
+        crash_records: &[CrashRecordUpdate],
+        source: CrashRecordSource,
+    ) {
         let now = clock::now();
-        for it in cases {
+        for it in crash_records {
             let mut state = self.state.borrow_mut();
             let was_quarantined = state.quarantine.crash_record(it.fingerprint).is_quarantined();
             let changed = state.quarantine.merge_update(it, now);
@@ -83,7 +87,7 @@
         let changed = quarantine.record_crash(&runs, clock::now());
         drop(state);
         for (fingerprint, was_quarantined) in previously_quarantined.into_iter().filter(|it| changed.contains(&it.0)) {
-            self.handle_record_change(fingerprint, was_quarantined, CaseSource::Ended);
+            self.handle_record_change(fingerprint, was_quarantined, CrashRecordSource::Ended);
         }
     }
 
@@ -110,32 +114,32 @@
         let changed = state.quarantine.record_success(fingerprint, clock::now());
         drop(state);
         if changed {
-            self.handle_record_change(fingerprint, was_quarantined, CaseSource::Answered);
+            self.handle_record_change(fingerprint, was_quarantined, CrashRecordSource::Answered);
         }
     }
 
     /// Takes the crash records that changed since the last call, to send them to other proxies.
-    pub(in crate::proxy) fn take_changed_cases(&self) -> Vec<CrashRecordUpdate> {
+    pub(in crate::proxy) fn take_changed_crash_records(&self) -> Vec<CrashRecordUpdate> {
         let mut state = self.state.borrow_mut();
         let mut changed = std::mem::take(&mut state.records_to_send);
         changed.sort_unstable();
         changed.dedup();
-        let cases = state.quarantine.updates(clock::now());
-        cases.into_iter().filter(|it| changed.binary_search(&it.fingerprint).is_ok()).collect()
+        let crash_records = state.quarantine.updates(clock::now());
+        crash_records.into_iter().filter(|it| changed.binary_search(&it.fingerprint).is_ok()).collect()
     }
 
     /// All crash records.
-    pub(in crate::proxy) fn cases(&self) -> Vec<CrashRecordUpdate> {
+    pub(in crate::proxy) fn crash_records(&self) -> Vec<CrashRecordUpdate> {
         self.state.borrow().quarantine.updates(clock::now())
     }
 
     /// A digest of all crash records, to compare two proxies.
-    pub(in crate::proxy) fn cases_digest(&self) -> u64 {
+    pub(in crate::proxy) fn crash_records_digest(&self) -> u64 {
         self.state.borrow().quarantine.digest()
     }
 
     /// Removes expired crash records.
-    pub(in crate::proxy) fn remove_expired_cases(&self) {
+    pub(in crate::proxy) fn remove_expired_crash_records(&self) {
         self.state.borrow_mut().quarantine.remove_expired(clock::now());
     }
 
@@ -150,15 +154,20 @@
     }
 
     /// Takes the requests whose crash record this VM's endpoint changed since the last call, to store the records.
-    pub(in crate::proxy) fn take_cases_to_store(&self) -> Vec<Fingerprint> {
+    pub(in crate::proxy) fn take_crash_records_to_store(&self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.state.borrow_mut().records_to_store)
     }
 
     /// Schedules a changed crash record for sending and storing, updates metrics and events, and re-evaluates the queue.
-    fn handle_record_change(self: &Rc<Self>, fingerprint: Fingerprint, was_quarantined: bool, source: CaseSource) {
+    fn handle_record_change(
+        self: &Rc<Self>,
+        fingerprint: Fingerprint,
+        was_quarantined: bool,
+        source: CrashRecordSource,
+    ) {
         let mut state = self.state.borrow_mut();
         state.records_to_send.push(fingerprint);
-        if matches!(source, CaseSource::Ended | CaseSource::Answered) {
+        if matches!(source, CrashRecordSource::Ended | CrashRecordSource::Answered) {
             state.records_to_store.push(fingerprint);
         }
         let record = state.quarantine.crash_record(fingerprint);
@@ -171,7 +180,7 @@
             let (evidence, source) = (record.evidence(), source.name());
             self.events.emit(&Event::Quarantine { fingerprint, held: is_quarantined, evidence, source });
         }
-        self.cases_changed.notify_one();
+        self.crash_records_changed.notify_one();
         self.issue_grants();
     }
 }
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -35,7 +35,7 @@
         req: &ReserveRequest,
         context: ReservationContext,
     ) -> Result<Grant, GrantRefusal> {
-        self.merge_case(req.fingerprint, req.case);
+        self.merge_crash_record(req.fingerprint, req.crash_record);
         let (tx, rx) = oneshot::channel();
         let id = self.state.borrow_mut().enqueue(req, context, tx, clock::now())?;
         let mut pending = PendingReservation { guard: self, id, rx };
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -94,7 +94,7 @@
 
     /// Whether the request is quarantined and this is not its trial.
     pub(super) fn is_quarantined(&self, req: &IngressRequest) -> bool {
-        self.guard.case(req.fingerprint).is_quarantined() && !req.is_quarantine_trial.get()
+        self.guard.crash_record(req.fingerprint).is_quarantined() && !req.is_quarantine_trial.get()
     }
 
     fn report_failed_attempt(
@@ -164,7 +164,7 @@
     /// When the request may be hedged; its answer deadline if it must not be.
     fn hedge_at(&self, req: &IngressRequest) -> Instant {
         // A request that may have crashed an endpoint runs at one endpoint at a time.
-        let is_suspect = self.guard.case(req.fingerprint).is_suspect();
+        let is_suspect = self.guard.crash_record(req.fingerprint).is_suspect();
         if is_suspect || !req.is_idempotent() || req.attempts.get() + 1 >= req.route().max_attempts {
             return req.answer_deadline;
         }
@@ -204,7 +204,7 @@
         match link.call::<_, RunResponse>(path::RUN, &run).await {
             Ok(it) => {
                 self.apply_guard_report(it.report);
-                self.guard.merge_case(req.fingerprint, it.case);
+                self.guard.merge_crash_record(req.fingerprint, it.crash_record);
                 it.end
             }
             Err(LinkError::NotConnected) => RunEnd::NotRun(NotRunReason::NoGrant),
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -337,7 +337,7 @@
             service: &req.service,
             status: resp.status().as_u16(),
             outcome,
-            quarantined: self.guard.case(req.fingerprint).is_quarantined().then_some(req.fingerprint),
+            quarantined: self.guard.crash_record(req.fingerprint).is_quarantined().then_some(req.fingerprint),
             call: req.is_nested_call(),
             asked: req.guards_asked.get(),
             attempts: req.attempts.get(),
--- a/src/proxy/ingress/reserve.rs
+++ b/src/proxy/ingress/reserve.rs
@@ -280,7 +280,7 @@
             service: req.service.clone(),
             route: req.route().name.clone(),
             fingerprint: req.fingerprint,
-            case: self.guard.case(req.fingerprint),
+            crash_record: self.guard.crash_record(req.fingerprint),
             is_quarantine_trial: req.is_quarantine_trial.get(),
             idempotent: req.is_idempotent(),
             allows_endpoint_trial: Self::may_be_trial(req),
@@ -304,7 +304,7 @@
                 if let Some(used_by_callers) = it.is_caller_route {
                     self.guard.set_callers_use_route(&reserve_req.route, used_by_callers);
                 }
-                self.guard.merge_case(reserve_req.fingerprint, it.case);
+                self.guard.merge_crash_record(reserve_req.fingerprint, it.crash_record);
                 (at, it.result)
             }
             Err(error) => {
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -54,7 +54,7 @@
                 backoff.pause_after_failure(&error).await;
             }
             backoff.record_answer();
-            self.store_held_cases();
+            self.store_quarantined();
         }
     }
 
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -41,7 +41,7 @@
     pub(crate) const SUMMARY: &str = "/summary";
     pub(crate) const COMPARE: &str = "/compare";
     pub(crate) const DELIVER: &str = "/deliver";
-    pub(crate) const CASES: &str = "/cases";
+    pub(crate) const CRASH_RECORDS: &str = "/cases";
     pub(crate) const WATCH: &str = "/watch";
 }
 
@@ -109,7 +109,8 @@
     pub fingerprint: Fingerprint,
     /// The crash record of the request at the ingress.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
     /// Whether it is the trial of a quarantined request.
     #[serde(default, rename = "released")]
     pub is_quarantine_trial: bool,
@@ -158,7 +159,8 @@
     pub is_caller_route: Option<bool>,
     /// The crash record of the request at the guard.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
 }
 
 /// Permits one request to run at an endpoint.
@@ -288,7 +290,8 @@
     pub end: RunEnd,
     /// The crash record of the request at the guard after this run.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
 }
 
 /// Asks how the run of a grant ended. An unused grant is revoked.
@@ -345,7 +348,7 @@
     pub confirmed_ago: Option<Duration>,
     /// The digest of all crash records.
     #[serde(default, rename = "cases")]
-    pub cases_digest: u64,
+    pub crash_records_digest: u64,
     /// The newest store era that the sender has seen; it goes up with each restore from a backup.
     #[serde(default, rename = "era")]
     pub store_era: Option<Era>,
@@ -355,7 +358,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct QuarantineExchange {
     /// The sender's crash records.
-    pub cases: Vec<CrashRecordUpdate>,
+    #[serde(rename = "cases")]
+    pub crash_records: Vec<CrashRecordUpdate>,
     /// Whether the receiver responds with its own crash records.
     #[serde(rename = "exchange")]
     pub wants_reply: bool,
--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -46,7 +46,7 @@
         path::SUMMARY => decode_and_reply(&body, async |it| proxy.answer_summary(it)).await,
         path::COMPARE => decode_and_reply(&body, async |it| proxy.answer_compare(&it)).await,
         path::WATCH => decode_and_reply(&body, async |()| proxy.start_substituting()).await,
-        path::CASES => decode_and_reply(&body, async |it| proxy.exchange_cases(&it)).await,
+        path::CRASH_RECORDS => decode_and_reply(&body, async |it| proxy.exchange_crash_records(&it)).await,
         path::DELIVER => decode_and_reply(&body, async |it| proxy.answer_deliver(it)).await,
         _ => response(StatusCode::NOT_FOUND, Bytes::new()),
     }
@@ -88,19 +88,19 @@
             it.request_hello();
         }
         let result = self.guard.reserve(&req, self.reservation_context(&req)).await;
-        let case = self.guard.case(req.fingerprint);
+        let crash_record = self.guard.crash_record(req.fingerprint);
         ReserveResponse {
             report: self.guard_report(),
             result,
             is_caller_route: self.guard.callers_use_route(&req.route),
-            case,
+            crash_record,
         }
     }
 
     async fn run_request(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
-        RunResponse { report: self.guard_report(), end, case: self.guard.case(fingerprint) }
+        RunResponse { report: self.guard_report(), end, crash_record: self.guard.crash_record(fingerprint) }
     }
 
     async fn relay_query(self: &Rc<Self>, query: RelayedQuery) -> RunEnd {
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -1,6 +1,6 @@
-//! Distribution of quarantine cases. A case is the crash record of a request: the evidence that it crashes endpoints.
+//! Distribution of crash records: the evidence that requests crash endpoints.
 //!
-//! Proxies gossip the cases to each other. The store keeps the quarantined requests, so that they survive a restart of
+//! Proxies gossip the records to each other. The store keeps the quarantined requests, so that they survive a restart of
 //! all proxies, and it lets only one proxy begin a trial of a request.
 
 use std::{rc::Rc, time::Duration};
@@ -21,13 +21,13 @@
         Proxy,
         backoff::Backoff,
         gossip::{COALESCE_DELAY, PEER_CALL_TIMEOUT},
-        guard::quarantine::CaseSource,
+        guard::quarantine::CrashRecordSource,
         message::{QuarantineExchange, path},
         peer_link::Link,
     },
 };
 
-/// Number of random peers that each proxy forwards a new case to. It reaches all but a few proxies in a thousand; those
+/// Number of random peers that each proxy forwards a new crash record to. It reaches all but a few proxies in a thousand; those
 /// get it with the next anti-entropy exchange.
 const GOSSIP_FANOUT: usize = 6;
 /// Maximum age of the data that a stale read of the store returns.
@@ -36,41 +36,46 @@
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Proxy {
-    /// Sends new cases to some peers, which forward them, and writes cases that were found here to the store.
-    pub(super) async fn gossip_cases(self: Rc<Self>) {
+    /// Sends new crash records to some peers, which forward them, and writes those that were found here to the store.
+    pub(super) async fn gossip_crash_records(self: Rc<Self>) {
         loop {
-            self.guard.cases_changed.notified().await;
+            self.guard.crash_records_changed.notified().await;
             sleep(COALESCE_DELAY).await;
-            for fingerprint in self.guard.take_cases_to_store() {
-                spawn_local(Rc::clone(&self).store_case(fingerprint));
+            for fingerprint in self.guard.take_crash_records_to_store() {
+                spawn_local(Rc::clone(&self).store_crash_record(fingerprint));
             }
-            let update = QuarantineExchange { cases: self.guard.take_changed_cases(), wants_reply: false };
+            let update =
+                QuarantineExchange { crash_records: self.guard.take_changed_crash_records(), wants_reply: false };
             let links: Vec<Rc<Link>> = self.links.borrow().iter().map(|it| Rc::clone(&it.1)).collect();
             let connected: Vec<&Rc<Link>> = links.iter().filter(|it| it.is_connected()).collect();
             for link in connected.sample(&mut rand::rng(), GOSSIP_FANOUT) {
                 let (link, update) = (Rc::clone(link), update.clone());
                 spawn_local(async move {
                     // A lost message is made up for by the next anti-entropy exchange.
-                    _ = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &update).await;
+                    _ = link
+                        .call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CRASH_RECORDS, &update)
+                        .await;
                 });
             }
         }
     }
 
-    /// Merges a peer's cases, and returns all local cases if the peer asks for them.
-    pub(super) fn exchange_cases(&self, theirs: &QuarantineExchange) -> Vec<CrashRecordUpdate> {
-        self.guard.merge_cases(&theirs.cases, CaseSource::Peer);
-        if theirs.wants_reply { self.guard.cases() } else { Vec::new() }
+    /// Merges a peer's crash records, and returns all local ones if the peer asks for them.
+    pub(super) fn exchange_crash_records(&self, theirs: &QuarantineExchange) -> Vec<CrashRecordUpdate> {
+        self.guard.merge_crash_records(&theirs.crash_records, CrashRecordSource::Peer);
+        if theirs.wants_reply { self.guard.crash_records() } else { Vec::new() }
     }
 
-    /// Exchanges all cases with a peer whose digest differs.
-    pub(super) async fn sync_cases(&self, their_digest: u64, link: &Rc<Link>) {
-        if their_digest == self.guard.cases_digest() {
+    /// Exchanges all crash records with a peer whose digest differs.
+    pub(super) async fn sync_crash_records(&self, their_digest: u64, link: &Rc<Link>) {
+        if their_digest == self.guard.crash_records_digest() {
             return;
         }
-        let ours = QuarantineExchange { cases: self.guard.cases(), wants_reply: true };
-        if let Some(it) = link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CASES, &ours).await {
-            self.guard.merge_cases(&it, CaseSource::Peer);
+        let ours = QuarantineExchange { crash_records: self.guard.crash_records(), wants_reply: true };
+        if let Some(it) =
+            link.call_within::<_, Vec<CrashRecordUpdate>>(PEER_CALL_TIMEOUT, path::CRASH_RECORDS, &ours).await
+        {
+            self.guard.merge_crash_records(&it, CrashRecordSource::Peer);
         }
     }
 
@@ -98,25 +103,25 @@
             record: it.crash_record,
             age: Duration::ZERO,
         });
-        self.guard.merge_cases(&updates.collect::<Vec<_>>(), CaseSource::Store);
+        self.guard.merge_crash_records(&updates.collect::<Vec<_>>(), CrashRecordSource::Store);
         Ok(())
     }
 
     /// Writes all quarantined requests to the store, if this proxy watches the store for the fleet.
-    pub(super) fn store_held_cases(self: &Rc<Self>) {
+    pub(super) fn store_quarantined(self: &Rc<Self>) {
         if !self.watching.get() {
             return;
         }
-        for it in self.guard.cases().into_iter().filter(|it| it.record.is_quarantined()) {
-            spawn_local(Rc::clone(self).store_case(it.fingerprint));
+        for it in self.guard.crash_records().into_iter().filter(|it| it.record.is_quarantined()) {
+            spawn_local(Rc::clone(self).store_crash_record(it.fingerprint));
         }
     }
 
     /// Writes a quarantined request to the store, or removes it if it was cleared.
-    async fn store_case(self: Rc<Self>, fingerprint: Fingerprint) {
+    async fn store_crash_record(self: Rc<Self>, fingerprint: Fingerprint) {
         let mut backoff = Backoff::new(&self);
         loop {
-            let record = self.guard.case(fingerprint);
+            let record = self.guard.crash_record(fingerprint);
             let result = if record.is_quarantined() {
                 let object = QuarantineObject { fingerprint, crash_record: record, written_by: self.name.clone() };
                 self.store.add_quarantined(&object).await
@@ -141,8 +146,11 @@
         }
         // Requests with the same fingerprint that arrive in the meantime are refused.
         self.guard.postpone_trial(fingerprint);
-        let object =
-            QuarantineObject { fingerprint, crash_record: self.guard.case(fingerprint), written_by: self.name.clone() };
+        let object = QuarantineObject {
+            fingerprint,
+            crash_record: self.guard.crash_record(fingerprint),
+            written_by: self.name.clone(),
+        };
         match timeout(TRIAL_TIMEOUT, self.store.claim_trial(&object)).await {
             Ok(Ok(TrialClaim::Claimed(record))) => {
                 self.merge_trial_record(fingerprint, record);
@@ -164,6 +172,9 @@
     }
 
     fn merge_trial_record(&self, fingerprint: Fingerprint, record: CrashRecord) {
-        self.guard.merge_cases(&[CrashRecordUpdate { fingerprint, record, age: Duration::ZERO }], CaseSource::Trial);
+        self.guard.merge_crash_records(
+            &[CrashRecordUpdate { fingerprint, record, age: Duration::ZERO }],
+            CrashRecordSource::Trial,
+        );
     }
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -225,5 +225,8 @@
     let bytes = rmp_serde::to_vec(&earlier).expect("tuples can be encoded");
     let reserve: ReserveRequest = rmp_serde::from_slice(&bytes).expect("an earlier reservation can be decoded");
 
-    assert_eq!((&*reserve.route, reserve.case, reserve.is_quarantine_trial), ("read", CrashRecord::default(), false));
+    assert_eq!(
+        (&*reserve.route, reserve.crash_record, reserve.is_quarantine_trial),
+        ("read", CrashRecord::default(), false)
+    );
 }
