--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -232,11 +232,11 @@
         let query = RunQuery { grant };
         loop {
             let (through, found) = if link.is_connected() {
-                (name.into(), link.call_within::<_, RunEnd>(req.time_left(), path::ASK, &query).await)
+                (name.into(), link.call_within::<_, RunEnd>(req.time_left(), path::RUN_QUERY, &query).await)
             } else {
                 match self.random_connected_link_except(name, false) {
                     Some((helper, it)) => {
-                        let relayed_query = RelayedQuery { to: link.address, ask: query.clone() };
+                        let relayed_query = RelayedQuery { guard_address: link.address, query: query.clone() };
                         (helper, it.call_within::<_, RunEnd>(RELAYED_QUERY_TIMEOUT, path::RELAY, &relayed_query).await)
                     }
                     None => (name.into(), None),
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -33,7 +33,7 @@
 pub(super) mod path {
     pub(crate) const RESERVE: &str = "/reserve";
     pub(crate) const RUN: &str = "/run";
-    pub(crate) const ASK: &str = "/ask";
+    pub(crate) const RUN_QUERY: &str = "/ask";
     pub(crate) const RELAY: &str = "/relay";
     pub(crate) const HELLO: &str = "/hello";
     pub(crate) const BRIEF: &str = "/brief";
@@ -272,7 +272,7 @@
     /// The response is malformed or belongs to another request.
     #[serde(rename = "Garbled")]
     MalformedAnswer,
-    /// No response came within the time limit.
+    /// No response came within the time limit. In the reply to a [`RunQuery`]: the run has not ended yet.
     #[serde(rename = "Silent")]
     TimedOut,
     /// The guard has no record of the grant, for example after a restart.
@@ -305,9 +305,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RelayedQuery {
     /// The peer address of the guard.
-    pub to: SocketAddr,
+    #[serde(rename = "to")]
+    pub guard_address: SocketAddr,
     /// The query to forward.
-    pub ask: RunQuery,
+    #[serde(rename = "ask")]
+    pub query: RunQuery,
 }
 
 /// Introduces the sender on a link; sent again whenever its row or its selection changes.
--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -38,7 +38,9 @@
     match head.uri.path() {
         path::RESERVE => decode_and_reply(&body, |it| proxy.reserve(it)).await,
         path::RUN => decode_and_reply(&body, |it| proxy.run_request(it)).await,
-        path::ASK => decode_and_reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await,
+        path::RUN_QUERY => {
+            decode_and_reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await
+        }
         path::RELAY => decode_and_reply(&body, |it| proxy.relay_query(it)).await,
         path::HELLO => decode_and_reply(&body, async |it| proxy.answer_hello(it)).await,
         path::BRIEF => decode_and_reply(&body, async |it| proxy.apply_status_update(&it)).await,
@@ -103,26 +105,32 @@
         RunResponse { report: self.guard_report(), end, crash_record: self.guard.crash_record(fingerprint) }
     }
 
-    async fn relay_query(self: &Rc<Self>, query: RelayedQuery) -> RunEnd {
-        match self.forward_query(&query).await {
+    async fn relay_query(self: &Rc<Self>, relayed: RelayedQuery) -> RunEnd {
+        match self.forward_query(&relayed).await {
             Ok(it) => it,
             Err(error) => {
-                log::debug!("forwarding a run query to {}: {error}", query.to);
+                log::debug!("forwarding a run query to {}: {error}", relayed.guard_address);
                 RunEnd::Unknown(UnknownReason::TimedOut)
             }
         }
     }
 
     /// Sends a query to its guard, on the link to it or on a new connection.
-    async fn forward_query(&self, query: &RelayedQuery) -> Result<RunEnd, LinkError> {
-        let link = self.links.borrow().iter().find(|it| it.1.address == query.to).map(|it| Rc::clone(&it.1));
+    async fn forward_query(&self, relayed: &RelayedQuery) -> Result<RunEnd, LinkError> {
+        let link =
+            self.links.borrow().iter().find(|it| it.1.address == relayed.guard_address).map(|it| Rc::clone(&it.1));
         if let Some(it) = link {
-            return it.call(path::ASK, &query.ask).await;
+            return it.call(path::RUN_QUERY, &relayed.query).await;
         }
-        let row = self.directory.borrow().members().find(|it| it.1.peer_address == query.to).map(|it| Arc::clone(it.1));
+        let row = self
+            .directory
+            .borrow()
+            .members()
+            .find(|it| it.1.peer_address == relayed.guard_address)
+            .map(|it| Arc::clone(it.1));
         let Some(row) = row else { return Err(LinkError::NotConnected) };
         let (link, _connection) = Link::open(&row).await?;
-        link.call(path::ASK, &query.ask).await
+        link.call(path::RUN_QUERY, &relayed.query).await
     }
 
     /// The active configuration with its findings, if it is newer than `known`.
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -27,8 +27,8 @@
     },
 };
 
-/// Number of random peers that each proxy forwards a new crash record to. It reaches all but a few proxies in a thousand; those
-/// get it with the next anti-entropy exchange.
+/// Number of random peers that each proxy forwards a new crash record to. It reaches all but a few proxies in a
+/// thousand; those get it with the next anti-entropy exchange.
 const GOSSIP_FANOUT: usize = 6;
 /// Maximum age of the data that a stale read of the store returns.
 const MAX_STALENESS: Duration = Duration::from_secs(4);
