--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -92,7 +92,7 @@
         let was_tried = tried.iter().any(|it| it.row.id == self.row.id && it.guard.daemon == self.guard.daemon);
         let in_flight = self.load.in_flight.load(Ordering::Relaxed);
         Candidate {
-            near: self.guard.same_data_centre,
+            same_data_centre: self.guard.same_data_centre,
             suspect: self.row.state == EndpointState::Suspect,
             avoid: refuses || was_tried || lock(&self.guard.path_health).is_backing_off(now),
             load: in_flight.max(report.map_or(0, |it| it.load)),
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -5,14 +5,14 @@
 
 /// Factor by which the load of a suspect endpoint is scaled.
 const SUSPECT_FACTOR: f32 = 4.0;
-/// Load per slot from which a near endpoint is no longer preferred to those of other data centres.
-const NEAR_LOAD_LIMIT: f32 = 0.8;
+/// Load per slot from which an endpoint in the same data centre is no longer preferred.
+const LOCAL_LOAD_LIMIT: f32 = 0.8;
 
 /// What the choice considers of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// Whether it is in the data centre of the ingress.
-    pub near: bool,
+    pub same_data_centre: bool,
     /// Whether its guard reports it as suspect.
     pub suspect: bool,
     /// Whether it is only chosen when all candidates are to be avoided.
@@ -28,11 +28,11 @@
 
 /// Chooses one of the candidates; `None` if the list is empty.
 ///
-/// The better of two near candidates is chosen if its load per slot is below a limit, otherwise the better of two
+/// The better of two candidates in the same data centre is chosen if its load per slot is below a limit, otherwise the better of two
 /// from the whole list. Candidates to avoid are drawn only if there is no other.
 pub fn choose_endpoint(candidates: &[Candidate], rng: &mut impl Rng) -> Option<CandidateIndex> {
-    let near = better_of_two(candidates, rng, |it| it.near && !it.avoid);
-    if let Some(at) = near.filter(|at| score(&candidates[*at]) < NEAR_LOAD_LIMIT) {
+    let local = better_of_two(candidates, rng, |it| it.same_data_centre && !it.avoid);
+    if let Some(at) = local.filter(|at| score(&candidates[*at]) < LOCAL_LOAD_LIMIT) {
         return Some(at);
     }
     better_of_two(candidates, rng, |it| !it.avoid).or_else(|| better_of_two(candidates, rng, |_| true))
--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -18,7 +18,7 @@
     /// The deadline given to the endpoint.
     pub deadline: Instant,
     /// Share of it that counts as a retry, from 0 to 1.
-    pub repeat_share: f64,
+    pub retry_share: f64,
 }
 
 /// Where a request comes from.
@@ -35,7 +35,7 @@
         /// Ids of the running requests that may have made it; not empty.
         parents: Vec<u64>,
         /// Mean retry share of the parents, from 0 to 1, which the nested call inherits.
-        repeat_share: f64,
+        retry_share: f64,
     },
 }
 
@@ -99,9 +99,9 @@
         if self.is_reported(route) {
             return RequestOrigin::Caller { certain: false };
         }
-        let retry_shares: f64 = parents.iter().map(|it| it.repeat_share).sum();
+        let retry_shares: f64 = parents.iter().map(|it| it.retry_share).sum();
         RequestOrigin::NestedCall {
-            repeat_share: retry_shares / parents.len() as f64,
+            retry_share: retry_shares / parents.len() as f64,
             parents: parents.into_iter().map(|it| it.id).collect(),
         }
     }
--- a/src/decide/slot_time.rs
+++ b/src/decide/slot_time.rs
@@ -70,9 +70,9 @@
     /// Slots that may be used now; fewer while the endpoint warms up.
     pub usable: u32,
     /// Slots granted to ingresses that have not started to run their requests.
-    pub offered: u32,
+    pub unused_grants: u32,
     /// Slots with a running request.
-    pub working: u32,
+    pub running: u32,
     /// The endpoint's standing.
     pub standing: EndpointStanding,
     /// Whether requests wait here for a slot.
@@ -105,10 +105,10 @@
     /// Adds the time since the last call, spent under the previous occupancy, and sets the current one.
     pub fn advance(&mut self, current: SlotOccupancy, now: Instant) {
         let elapsed = self.updated_at.map_or(Duration::ZERO, |it| now.saturating_duration_since(it));
-        let SlotOccupancy { slots, usable, offered, working, .. } = self.occupancy;
-        let taken = offered + working;
+        let SlotOccupancy { slots, usable, unused_grants, running, .. } = self.occupancy;
+        let taken = unused_grants + running;
         let free = usable.saturating_sub(taken);
-        self.add(SlotUse::Offered, elapsed * offered);
+        self.add(SlotUse::Offered, elapsed * unused_grants);
         self.add(self.occupancy.free_use(), elapsed * free);
         self.add(SlotUse::Cold, elapsed * slots.saturating_sub(usable.max(taken)));
         self.occupancy = current;
--- a/src/decide/suspicion.rs
+++ b/src/decide/suspicion.rs
@@ -55,7 +55,7 @@
     /// The endpoint answered it well.
     Good,
     /// It has been running for longer than fast failures take.
-    Working,
+    LongRunning,
     /// The endpoint declined to start it, although it had free slots.
     Declined,
     /// It failed slowly, as happens at healthy endpoints too.
@@ -173,7 +173,7 @@
                 self.failing = self.failing.and_then(|it| it.after_success(request_started));
                 self.declining = self.declining.and_then(|it| it.after_success(request_started));
             }
-            AnswerSample::Working => {
+            AnswerSample::LongRunning => {
                 self.failing = self.failing.and_then(|it| it.after_long_run(request_started));
                 self.declining = self.declining.and_then(|it| it.after_long_run(request_started));
             }
--- a/src/decide/wait_queue.rs
+++ b/src/decide/wait_queue.rs
@@ -24,9 +24,9 @@
     /// Whether it may be executed more than once.
     pub idempotent: bool,
     /// Whether it may be used as a trial of a suspect endpoint.
-    pub may_be_trial: bool,
+    pub allows_endpoint_trial: bool,
     /// The worst standing of an endpoint that may run it, unless it is a trial.
-    pub accepts: EndpointStanding,
+    pub worst_standing: EndpointStanding,
     /// When it arrived at the guard.
     pub arrived: Instant,
     /// A request that starts after this is expected to be late.
@@ -34,7 +34,7 @@
     /// Whether it spends the guard's retry budget.
     pub is_retry: bool,
     /// The fraction of it that counts as a retry, 0 to 1.
-    pub repeat_share: f64,
+    pub retry_share: f64,
     /// Its class.
     pub route: Box<str>,
     /// The fingerprint by which a quarantine applies to it.
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -32,7 +32,7 @@
             id,
             route,
             deadline: it.deadline,
-            repeat_share: it.retry_share,
+            retry_share: it.retry_share,
         };
         let running_work: Vec<RunningWork<'_>> = active_runs.chain(unfinished_runs).map(to_running_work).collect();
         let origin = origin_tracker.classify(route, deadline, &running_work);
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -174,12 +174,12 @@
 
     /// Adds the slot time since the last call; must be called whenever the use of the slots may have changed.
     fn account_slot_time(&mut self, now: Instant) {
-        let working = saturating_u32(self.ledger.active_runs().count());
+        let running = saturating_u32(self.ledger.active_runs().count());
         let next = self.serving().map_or_else(SlotOccupancy::default, |it| SlotOccupancy {
             slots: it.announcement.slots,
             usable: it.usable_slots(now),
-            offered: saturating_u32(self.ledger.len()) - working,
-            working,
+            unused_grants: saturating_u32(self.ledger.len()) - running,
+            running,
             standing: it.standing_tracker.standing(),
             has_waiters: !self.queue.is_empty(),
         });
--- a/src/proxy/guard/reservations.rs
+++ b/src/proxy/guard/reservations.rs
@@ -120,12 +120,12 @@
             is_nested_call: nested_call,
             rank: req.rank,
             idempotent: req.idempotent,
-            may_be_trial: req.allows_endpoint_trial,
-            accepts: req.worst_standing,
+            allows_endpoint_trial: req.allows_endpoint_trial,
+            worst_standing: req.worst_standing,
             arrived: now,
             latest_start: now + req.start_within,
             is_retry: req.attempt_kind == AttemptKind::Retry,
-            repeat_share: req.attempt_kind.retry_share(),
+            retry_share: req.attempt_kind.retry_share(),
             route: req.route.clone(),
             fingerprint: req.fingerprint,
             is_quarantine_trial: req.is_quarantine_trial,
@@ -147,7 +147,7 @@
                 ledger.granted_work().any(|it| quarantine.crash_record(it.fingerprint).is_suspect());
             let admits = |it: &Waiter| {
                 let record = quarantine.crash_record(it.fingerprint);
-                endpoint.standing_tracker.admits(it.accepts, it.may_be_trial, endpoint_trials, now)
+                endpoint.standing_tracker.admits(it.worst_standing, it.allows_endpoint_trial, endpoint_trials, now)
                     && (it.is_quarantine_trial || !record.is_quarantined())
                     && !(record.is_suspect() && has_suspect_request)
                     && (!it.is_retry || retry_budget.allows(it.retry(), now))
@@ -161,7 +161,7 @@
                 fingerprint: waiter.fingerprint,
                 quarantine_trial: waiter.is_quarantine_trial,
                 idempotent: waiter.idempotent,
-                retry_share: waiter.repeat_share,
+                retry_share: waiter.retry_share,
                 endpoint_trial: endpoint.standing_tracker.standing() != EndpointStanding::Clean,
             };
             let grant = ledger.issue(endpoint.announcement.id.clone(), work);
@@ -171,7 +171,7 @@
                 continue;
             }
             endpoint.standing_tracker.record_start(now);
-            retry_budget.record_arrival(waiter.repeat_share);
+            retry_budget.record_arrival(waiter.retry_share);
             return Some(id);
         }
         None
@@ -189,7 +189,9 @@
             Some(_) if !fits_before_shutdown(*work_deadline, service_times, &it.route, now) => {
                 Some(GrantRefusal::NotServed)
             }
-            Some(endpoint) if !endpoint.standing_tracker.admits(it.accepts, it.may_be_trial, 0, now) => {
+            Some(endpoint)
+                if !endpoint.standing_tracker.admits(it.worst_standing, it.allows_endpoint_trial, 0, now) =>
+            {
                 Some(GrantRefusal::Suspect)
             }
             Some(_) if it.is_retry && !retry_budget.allows(it.retry(), now) => Some(GrantRefusal::RetryBudgetExhausted),
--- a/src/proxy/guard/runs.rs
+++ b/src/proxy/guard/runs.rs
@@ -33,22 +33,22 @@
 const OVERDUE_MARGIN: Duration = Duration::from_millis(300);
 /// An endpoint trial must run at least this long to show that it did not fail fast: fast failures take a few
 /// milliseconds, and the VM may be slow.
-const MIN_WORKING_TIME: Duration = Duration::from_millis(30);
+const MIN_LONG_RUNNING_TIME: Duration = Duration::from_millis(30);
 /// A run of a route without a known mean service time is overdue after this.
 const OVERDUE_DEFAULT: Duration = Duration::from_secs(3);
 
 /// The run times after which a sample of the endpoint is recorded before the run ends.
 struct ProgressThresholds {
     /// The endpoint did not fail fast; set only for endpoint trials.
-    working: Option<Duration>,
+    long_running: Option<Duration>,
     /// The run takes much longer than usual.
     overdue: Duration,
 }
 
 impl ProgressThresholds {
     fn in_order(&self) -> impl Iterator<Item = (Duration, AnswerSample, &'static str)> {
-        let working = self.working.map(|it| (it, AnswerSample::Working, "working"));
-        working.into_iter().chain([(self.overdue, AnswerSample::SoftFailure, "overdue")])
+        let long_running = self.long_running.map(|it| (it, AnswerSample::LongRunning, "working"));
+        long_running.into_iter().chain([(self.overdue, AnswerSample::SoftFailure, "overdue")])
     }
 }
 
@@ -91,7 +91,9 @@
         let work = &ledger.start_run(&run.grant, active_run)?.work;
         let mean_time = service_times.mean(&work.route);
         let thresholds = ProgressThresholds {
-            working: work.endpoint_trial.then(|| suspicion::fast_failure_limit(mean_time).max(MIN_WORKING_TIME)),
+            long_running: work
+                .endpoint_trial
+                .then(|| suspicion::fast_failure_limit(mean_time).max(MIN_LONG_RUNNING_TIME)),
             overdue: mean_time.map_or(OVERDUE_DEFAULT, |it| it * OVERDUE_FACTOR + OVERDUE_MARGIN),
         };
         let started = (Rc::clone(&endpoint.pool), work.idempotent, thresholds);
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -385,7 +385,7 @@
     /// The part of the request's first attempt that counts as a retry, 0 to 1.
     fn retry_share(&self) -> f64 {
         match self.origin {
-            RequestOrigin::NestedCall { repeat_share, .. } => repeat_share,
+            RequestOrigin::NestedCall { retry_share, .. } => retry_share,
             RequestOrigin::Caller { .. } => 0.0,
         }
     }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -277,7 +277,7 @@
     println!("# decisions");
     for count in [10, 30, 100, 300] {
         let candidates: Vec<_> = (0..count)
-            .map(|it| Candidate { near: it % 6 == 0, suspect: false, avoid: false, load: it % 5, slots: 7 })
+            .map(|it| Candidate { same_data_centre: it % 6 == 0, suspect: false, avoid: false, load: it % 5, slots: 7 })
             .collect();
         let time = median(|| nanos_each(20_000, || _ = black_box(choose_endpoint(&candidates, rng))));
         print_nanos(&format!("choice among {count}"), time);
--- a/tests/daemon_decisions.rs
+++ b/tests/daemon_decisions.rs
@@ -206,8 +206,8 @@
 
 #[test]
 fn the_choice_prefers_near_and_less_loaded_endpoints_and_avoids_some_if_others_exist() {
-    let near = Candidate { near: true, suspect: false, avoid: false, load: 0, slots: 4 };
-    let far = Candidate { near: false, ..near };
+    let near = Candidate { same_data_centre: true, suspect: false, avoid: false, load: 0, slots: 4 };
+    let far = Candidate { same_data_centre: false, ..near };
     let busy = Candidate { load: 4, ..near };
     let avoided = Candidate { avoid: true, ..near };
     let mut rng = SmallRng::seed_from_u64(1);
--- a/tests/origin.rs
+++ b/tests/origin.rs
@@ -11,8 +11,8 @@
     Duration::from_millis(count)
 }
 
-fn work(id: u64, route: &str, until: Instant, repeat_share: f64) -> RunningWork<'_> {
-    RunningWork { id, route, deadline: until, repeat_share }
+fn work(id: u64, route: &str, until: Instant, retry_share: f64) -> RunningWork<'_> {
+    RunningWork { id, route, deadline: until, retry_share }
 }
 
 const CERTAIN_CALLER: RequestOrigin = RequestOrigin::Caller { certain: true };
@@ -46,7 +46,7 @@
 
     let origin = OriginTracker::default().classify("price", now + ms(1_500), &running);
 
-    assert_eq!(origin, RequestOrigin::NestedCall { parents: vec![1, 2], repeat_share: 0.5 });
+    assert_eq!(origin, RequestOrigin::NestedCall { parents: vec![1, 2], retry_share: 0.5 });
 }
 
 #[test]
--- a/tests/proxy_decisions.rs
+++ b/tests/proxy_decisions.rs
@@ -92,11 +92,11 @@
 #[case(&[AnswerSample::Declined, AnswerSample::HardFailure], EndpointStanding::Suspect)]
 #[case(&[AnswerSample::HardFailure, AnswerSample::Declined, AnswerSample::Good, AnswerSample::Good, AnswerSample::Good], EndpointStanding::Clean)]
 #[case(&[AnswerSample::HardFailure, AnswerSample::Good, AnswerSample::Good, AnswerSample::Declined, AnswerSample::Good], EndpointStanding::Declining)]
-#[case(&[AnswerSample::HardFailure, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Clean)]
-#[case(&[AnswerSample::Declined, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Clean)]
-#[case(&[AnswerSample::SoftFailure, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Suspect)]
-#[case(&[AnswerSample::HardFailure, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::Working, AnswerSample::Working], EndpointStanding::Suspect)]
-#[case(&[AnswerSample::Working, AnswerSample::SoftFailure, AnswerSample::Working, AnswerSample::SoftFailure], EndpointStanding::Suspect)]
+#[case(&[AnswerSample::HardFailure, AnswerSample::LongRunning, AnswerSample::LongRunning, AnswerSample::LongRunning], EndpointStanding::Clean)]
+#[case(&[AnswerSample::Declined, AnswerSample::LongRunning, AnswerSample::LongRunning, AnswerSample::LongRunning], EndpointStanding::Clean)]
+#[case(&[AnswerSample::SoftFailure, AnswerSample::SoftFailure, AnswerSample::LongRunning, AnswerSample::LongRunning, AnswerSample::LongRunning], EndpointStanding::Suspect)]
+#[case(&[AnswerSample::HardFailure, AnswerSample::SoftFailure, AnswerSample::LongRunning, AnswerSample::LongRunning, AnswerSample::LongRunning], EndpointStanding::Suspect)]
+#[case(&[AnswerSample::LongRunning, AnswerSample::SoftFailure, AnswerSample::LongRunning, AnswerSample::SoftFailure], EndpointStanding::Suspect)]
 fn one_hard_or_two_soft_failures_make_a_suspect_and_three_good_answers_clear_it(
     #[case] samples: &[AnswerSample],
     #[case] standing: EndpointStanding,
--- a/tests/slot_time.rs
+++ b/tests/slot_time.rs
@@ -30,11 +30,18 @@
         } else if let Some(started) = running.pop() {
             account.add_work(SlotUse::ALL[rng.random_range(0..5)], now - started);
         }
-        let working = u32::try_from(running.len()).expect("fewer than SLOTS");
-        let offered = rng.random_range(0..=SLOTS - working);
+        let running_count = u32::try_from(running.len()).expect("fewer than SLOTS");
+        let unused_grants = rng.random_range(0..=SLOTS - running_count);
         let standing = if rng.random_bool(0.3) { EndpointStanding::Suspect } else { EndpointStanding::Clean };
         account.advance(
-            SlotOccupancy { slots: SLOTS, usable, offered, working, standing, has_waiters: rng.random_bool(0.5) },
+            SlotOccupancy {
+                slots: SLOTS,
+                usable,
+                unused_grants,
+                running: running_count,
+                standing,
+                has_waiters: rng.random_bool(0.5),
+            },
             now,
         );
     }
@@ -56,7 +63,7 @@
 ) {
     let start = Instant::now();
     let mut account = SlotTime::default();
-    let occupancy = SlotOccupancy { slots: SLOTS, usable: SLOTS, offered: 1, working: 1, standing, has_waiters };
+    let occupancy = SlotOccupancy { slots: SLOTS, usable: SLOTS, unused_grants: 1, running: 1, standing, has_waiters };
 
     account.advance(occupancy, start);
     account.advance(occupancy, start + Duration::from_secs(2));
