--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -28,8 +28,8 @@
 
 /// Chooses one of the candidates; `None` if the list is empty.
 ///
-/// The better of two candidates in the same data centre is chosen if its load per slot is below a limit, otherwise the better of two
-/// from the whole list. Candidates to avoid are drawn only if there is no other.
+/// The better of two candidates in the same data centre is chosen if its load per slot is below a limit, otherwise the
+/// better of two from the whole list. Candidates to avoid are drawn only if there is no other.
 pub fn choose_endpoint(candidates: &[Candidate], rng: &mut impl Rng) -> Option<CandidateIndex> {
     let local = better_of_two(candidates, rng, |it| it.same_data_centre && !it.avoid);
     if let Some(at) = local.filter(|at| score(&candidates[*at]) < LOCAL_LOAD_LIMIT) {
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -227,10 +227,10 @@
 fn parse_limits(raw: &str) -> Result<RequestLimits, serde_json::Error> {
     let spec: LimitsSpec = serde_json::from_str(raw)?;
     Ok(RequestLimits {
-        head_bytes: spec.max_header_bytes,
+        header_bytes: spec.max_header_bytes,
         body_bytes: spec.max_body_bytes,
-        head_time: seconds(spec.header_timeout_s)?,
-        idle_time: seconds(spec.idle_timeout_s)?,
+        header_timeout: seconds(spec.header_timeout_s)?,
+        idle_timeout: seconds(spec.idle_timeout_s)?,
     })
 }
 
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -37,7 +37,7 @@
         let mut last_failure: Option<RequestOutcome> = None;
         let mut moves = 0;
         if self.guard.note_request(req.fingerprint).is_quarantined() {
-            req.is_quarantine_trial.set(self.begin_trial(req.fingerprint).await);
+            req.is_quarantine_trial.set(self.claim_trial(req.fingerprint).await);
         }
         loop {
             if self.is_quarantined(req) {
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -183,17 +183,19 @@
     }
     let route_index =
         config.routes().iter().position(|it| std::ptr::eq(it, route)).expect("the route is part of this configuration");
-    let body =
-        match timeout(config.limits.head_time.max(route.timeout), client::collect_body(body, config.limits.body_bytes))
-            .await
-        {
-            Ok(Ok(it)) => it,
-            Ok(Err(error)) if client::is_body_too_long(&error) => {
-                return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
-            }
-            Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
-            Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
-        };
+    let body = match timeout(
+        config.limits.header_timeout.max(route.timeout),
+        client::collect_body(body, config.limits.body_bytes),
+    )
+    .await
+    {
+        Ok(Ok(it)) => it,
+        Ok(Err(error)) if client::is_body_too_long(&error) => {
+            return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+        }
+        Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
+        Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
+    };
     let caller_deadline = arrived + platform::deadline(&head.headers).unwrap_or(route.timeout);
     let mut forwarded_headers = headers::end_to_end(&head.headers);
     platform::set_caller_service(&mut forwarded_headers, &proxy.settings.borrow().service);
@@ -225,7 +227,7 @@
     let cancel_report = CancelReport { proxy: &proxy, req: &req, answered: Cell::new(false) };
     let request_outcome = tokio::select! {
         it = proxy.serve_request(&req) => it,
-        () = proxy.final_responses_due() => req.without_grant(ReserveFailure::NoCapacity),
+        () = proxy.wait_for_answer_deadline() => req.without_grant(ReserveFailure::NoCapacity),
     };
     cancel_report.answered.set(true);
     proxy.respond(&req, request_outcome)
--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -92,7 +92,7 @@
 
     /// Records a request for `service` and opens links to its guards if it had no recent requests.
     pub(super) fn note_service_needed(self: &Rc<Self>, service: &str) {
-        if self.needs.borrow_mut().record_request(service, clock::now())
+        if self.recent_services.borrow_mut().record_request(service, clock::now())
             && self.directory.borrow_mut().service_count() > MAX_SERVICES_LINKED_AHEAD
         {
             self.update_links();
@@ -133,7 +133,7 @@
     fn select_rows(&self, now: Instant) -> Vec<Arc<Row>> {
         let mut directory = self.directory.borrow_mut();
         let all_services = directory.service_count() <= MAX_SERVICES_LINKED_AHEAD;
-        let recent_services = self.needs.borrow();
+        let recent_services = self.recent_services.borrow();
         let rows: Vec<_> = directory
             .members()
             .filter(|it| all_services || recent_services.contains(&it.1.endpoints.service))
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -95,7 +95,7 @@
     members_changed: Notify,
     /// Sorted by name.
     links: RefCell<Vec<(ProxyName, Rc<Link>)>>,
-    needs: RefCell<RecentServices>,
+    recent_services: RefCell<RecentServices>,
     /// Whether a non-empty list of proxies was read from the store.
     members_loaded: Cell<bool>,
     ingress: RefCell<IngressState>,
@@ -160,7 +160,7 @@
             settings: RefCell::new(Rc::new(settings)),
             members_changed: Notify::new(),
             links: RefCell::default(),
-            needs: RefCell::default(),
+            recent_services: RefCell::default(),
             members_loaded: Cell::new(false),
             ingress: RefCell::default(),
             endpoint_changes: Cell::new(0),
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -138,9 +138,9 @@
         backoff.record_answer();
     }
 
-    /// Begins the quarantine trial of a request if one is due. Returns false if none is due, if another proxy begins
-    /// it, or if the store doesn't respond in time.
-    pub(super) async fn begin_trial(&self, fingerprint: Fingerprint) -> bool {
+    /// Claims the quarantine trial of a request in the store if one is due; the caller begins it on true. Returns false
+    /// if none is due, if another proxy has claimed it, or if the store doesn't respond in time.
+    pub(super) async fn claim_trial(&self, fingerprint: Fingerprint) -> bool {
         if self.guard.time_to_next_trial(fingerprint) != Some(Duration::ZERO) {
             return false;
         }
--- a/src/proxy/routes.rs
+++ b/src/proxy/routes.rs
@@ -70,23 +70,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
     /// Maximum size of a header section, in bytes.
-    pub head_bytes: usize,
+    #[serde(rename = "head_bytes")]
+    pub header_bytes: usize,
     /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
     /// Time within which a header section must arrive, from its first byte.
-    pub head_time: Duration,
+    #[serde(rename = "head_time")]
+    pub header_timeout: Duration,
     /// Time after which an idle connection is closed.
-    pub idle_time: Duration,
+    #[serde(rename = "idle_time")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
     /// Limits that apply before the first configuration is received.
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
+            header_bytes: 16 * 1024,
             body_bytes: 64 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -61,7 +61,7 @@
     accept(listener, move |stream, from| {
         let handle = Rc::clone(&handle);
         let limits = limits();
-        let (stream, request_phase) = HeaderTimeoutStream::new(stream, limits.head_time);
+        let (stream, request_phase) = HeaderTimeoutStream::new(stream, limits.header_timeout);
         let service = service_fn(move |req| {
             let serving = request_phase.serving();
             let resp = handle(req);
@@ -73,8 +73,8 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle_time + IDLE_SLACK)
-            .max_buf_size(limits.head_bytes.max(MIN_HEADER_BUFFER))
+            .header_read_timeout(limits.idle_timeout + IDLE_SLACK)
+            .max_buf_size(limits.header_bytes.max(MIN_HEADER_BUFFER))
             .serve_connection(TokioIo::new(stream), service);
         spawn_local(async move {
             if let Err(error) = connection.await {
--- a/src/proxy/stop.rs
+++ b/src/proxy/stop.rs
@@ -118,7 +118,7 @@
     }
 
     /// Waits until this proxy is stopping and all its requests must have their responses.
-    pub(super) async fn final_responses_due(&self) {
+    pub(super) async fn wait_for_answer_deadline(&self) {
         while self.stop.get().is_none() {
             self.stop_requested.notified().await;
         }
