--- a/src/decide/guard_retry_budget.rs
+++ b/src/decide/guard_retry_budget.rs
@@ -11,7 +11,7 @@
 /// requests, which count but are never refused, and for guards that start or stop.
 const SLACK_FRACTION: f64 = 0.6;
 /// Fraction of the bucket reserved for nested calls, because a failed call wastes the request that waits for it. The
-/// same fraction is reserved for more urgent ranks while these want retries.
+/// same fraction is reserved for more urgent ranks while these request retries.
 const RESERVED_FRACTION: f64 = 0.2;
 /// How long the demand for a retry reserves tokens for its rank.
 const DEMAND_TTL: Duration = Duration::from_secs(1);
--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-/// How much later than its parent's a nested call's deadline may seem: timeouts are sent in whole milliseconds, and the
-/// call's time in transit is not subtracted.
+/// Tolerance when the deadline of a nested call is compared with its parent's, which it may seem to exceed: timeouts
+/// are sent in whole milliseconds, and the call's time in transit is not subtracted.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// A request that may be running at the endpoint.
@@ -125,10 +125,10 @@
     }
 
     /// Sets whether callers use `route`, as reported by a guard of its service.
-    pub fn set_used_by_callers(&mut self, route: &str, is_callers: bool) {
+    pub fn set_used_by_callers(&mut self, route: &str, used_by_callers: bool) {
         match self.reported.binary_search_by(|it| (*it.0).cmp(route)) {
-            Ok(at) => self.reported[at].1 = is_callers,
-            Err(at) => self.reported.insert(at, (route.into(), is_callers)),
+            Ok(at) => self.reported[at].1 = used_by_callers,
+            Err(at) => self.reported.insert(at, (route.into(), used_by_callers)),
         }
     }
 
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -75,8 +75,8 @@
     headers.contains_key(NOT_EXECUTED)
 }
 
-/// Returns the counts of running requests, waiting requests and slots that an endpoint reports; `None` if they are absent
-/// or malformed.
+/// Returns the counts of running requests, waiting requests and slots that an endpoint reports; `None` if they are
+/// absent or malformed.
 pub fn endpoint_load(headers: &HeaderMap) -> Option<(u32, u32, u32)> {
     let mut parts = header_str(headers, &SERVER_LOAD)?.split(',').map(|it| it.trim().parse().ok());
     Some((parts.next()??, parts.next()??, parts.next()??))
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -98,7 +98,8 @@
     restored: Notify,
 }
 
-/// One page of a listing. Items are decoded one by one, so that a malformed object of another writer doesn't hide the rest.
+/// One page of a listing. Items are decoded one by one, so that a malformed object of another writer doesn't hide the
+/// rest.
 #[derive(Deserialize)]
 pub(super) struct Page<'a> {
     #[serde(borrow)]
@@ -150,7 +151,8 @@
         self.era.get()
     }
 
-    /// Records an era seen by this process or a peer. One that is newer than the last wakes [`Store::wait_for_restore`].
+    /// Records an era seen by this process or a peer. One that is newer than the last wakes
+    /// [`Store::wait_for_restore`].
     pub fn note_era(&self, era: Era) {
         let before = self.era.get();
         self.era.set(before.max(Some(era)));
@@ -188,8 +190,8 @@
         Ok(ConfigSnapshot { config: main.map(|it| parse_config(it.spec.get())), position: self.position(page.at_rev) })
     }
 
-    /// Waits for the configuration to change after `from`. Returns [`WatchEnd::HistoryGone`] if the store was restored from
-    /// a backup meanwhile: it assigns revisions again, so changes may have revisions before `from`.
+    /// Waits for the configuration to change after `from`. Returns [`WatchEnd::HistoryGone`] if the store was restored
+    /// from a backup meanwhile: it assigns revisions again, so changes may have revisions before `from`.
     ///
     /// # Errors
     ///
--- a/src/proxy/config_watch.rs
+++ b/src/proxy/config_watch.rs
@@ -1,7 +1,7 @@
 //! Follows the configuration in the platform's store.
 //!
-//! Only a few proxies watch the store; the others get new versions by gossip. A watcher that loses the store asks a peer to
-//! watch in its place.
+//! Only a few proxies watch the store; the others get new versions by gossip. A watcher that loses the store asks a
+//! peer to watch in its place.
 
 use std::{
     rc::Rc,
@@ -49,8 +49,8 @@
         self.events.emit(&Event::Watch { begins, confirmed_ms: self.confirmed_ms() });
     }
 
-    /// Reads the configuration once at start, since no peer has one while the whole fleet starts. The read may be stale,
-    /// which costs a tenth; a newer version comes by gossip.
+    /// Reads the configuration once at start, since no peer has one while the whole fleet starts. A stale read costs
+    /// the store a tenth of a linearizable one, and a newer version comes by gossip.
     pub(super) async fn read_initial_config(self: Rc<Self>) {
         match self.store.read_config(Consistency::Stale).await {
             Ok(it) => _ = self.apply_config(it),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// The time since the store last confirmed to any proxy that the active configuration is the newest, as far as this proxy
-    /// knows.
+    /// The time since the store last confirmed to any proxy that the active configuration is the newest, as far as this
+    /// proxy knows.
     pub(super) fn confirmed_ago(&self) -> Option<Duration> {
         self.config_confirmed_at.get().map(|it| clock::now().saturating_duration_since(it))
     }
@@ -125,8 +125,8 @@
                     Err(error) => {
                         self.store_failed();
                         backoff.pause_after_failure(&error).await;
-                        // The store may have been restored from a backup, where a later change can have a revision before
-                        // this position: read again.
+                        // The store may have been restored from a backup, where a later change can have a revision
+                        // before this position: read again.
                         break;
                     }
                 }
@@ -142,8 +142,8 @@
         self.substitution.set(substitution);
     }
 
-    /// Records that a store call of this watcher failed, and asks for a substitute. Otherwise, if all watchers lost the
-    /// store, other proxies would begin to watch only when the last confirmation has become old.
+    /// Records that a store call of this watcher failed, and asks for a substitute. Without one, if all watchers lost
+    /// the store, other proxies would begin to watch only once the last confirmation is old.
     fn store_failed(self: &Rc<Self>) {
         self.store_unreachable.set(true);
         let mut substitution = self.substitution.get();
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Starts to watch for a peer that cannot reach the store. Returns false if this proxy watches and cannot reach it either.
+    /// Starts to watch for a peer that cannot reach the store. Returns false if this proxy watches and cannot reach it
+    /// either.
     pub(super) fn start_substituting(&self) -> bool {
         if self.watching.get() {
             return !self.store_unreachable.get();
--- a/src/proxy/endpoint.rs
+++ b/src/proxy/endpoint.rs
@@ -185,7 +185,7 @@
             self.put_idle(connection, &head.headers);
             return RunEnd::NotRun(NotRunReason::Declined);
         }
-        // Requests don't accept content codings, so a coded body doesn't come from the endpoint.
+        // Requests don't accept content codings, so an encoded body doesn't come from the endpoint.
         if !platform::has_response_seal(&head.headers) || head.headers.contains_key(CONTENT_ENCODING) {
             return RunEnd::Unknown(UnknownReason::MalformedAnswer);
         }
--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -70,8 +70,8 @@
     Rejected { request: &'a str, status: u16, why: &'a str },
     /// A guard refused to grant a run at its endpoint.
     NoPlace { request: &'a str, guard: &'a str, why: GrantRefusal, waited_ms: u128 },
-    /// A guard granted a run at its endpoint. `load`, `slots` and `standing` are what the ingress knew of the endpoint
-    /// when it asked, `told_ms_ago` is the age of that state.
+    /// A guard granted a run at its endpoint. `load`, `slots` and `standing` are the endpoint's state as last reported to
+    /// the ingress before it requested the grant, `told_ms_ago` is the age of that report.
     Placed {
         request: &'a str,
         guard: &'a str,
@@ -129,12 +129,12 @@
     pub service: &'a str,
     /// HTTP status of the response.
     pub status: u16,
-    /// Result in a word, for example `answered` or `timeout`.
+    /// Result as one word, for example `answered` or `timeout`.
     pub outcome: &'a str,
     /// Fingerprint of the request, if it is quarantined at the time of the response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub quarantined: Option<Fingerprint>,
-    /// Whether it is a nested call, made by work that is running.
+    /// Whether it is a nested call, made by a running request.
     pub call: bool,
     /// Number of reservation requests sent to guards.
     pub asked: u32,
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between proxies: status updates, directory rows and new configuration versions.
 //!
-//! A proxy sends changes of its endpoint and the endpoint's standing to its linked peers. Rows of other proxies spread by an
-//! anti-entropy exchange with one peer a second; only this traffic grows with the fleet.
+//! A proxy sends changes of its endpoint and the endpoint's standing to its linked peers. Rows of other proxies spread
+//! by an anti-entropy exchange with one peer a second; only this traffic grows with the fleet.
 
 use std::{rc::Rc, time::Duration};
 
@@ -73,7 +73,8 @@
         self.apply_status_update(&update);
     }
 
-    /// Applies a peer's status update, and requests a hello if it shows that the peer's row is newer than the known one.
+    /// Applies a peer's status update, and requests a hello if it shows that the peer's row is newer than the known
+    /// one.
     pub(super) fn apply_status_update(self: &Rc<Self>, update: &StatusUpdate) {
         let Some(link) = self.link(&update.name) else { return };
         self.apply_status(&update.name, &link, update.stamp, update.status);
@@ -104,8 +105,8 @@
         self.handle_changed_rows(&changed);
     }
 
-    /// Emits events for rows that changed in the directory and has the links updated. If this proxy's own row changed, sends
-    /// it to all linked peers.
+    /// Emits events for rows that changed in the directory and has the links updated. If this proxy's own row changed,
+    /// sends it to all linked peers.
     pub(super) fn handle_changed_rows(self: &Rc<Self>, changed: &[Row]) {
         if changed.is_empty() {
             return;
@@ -146,9 +147,9 @@
     }
 
     fn apply_hello_response(self: &Rc<Self>, link: &Rc<Link>, resp: HelloResponse) {
-        let HelloResponse { row, status, newer_caller_row } = resp;
+        let HelloResponse { row, status, newer_sender_row } = resp;
         let (name, stamp) = (row.name.clone(), row.stamp);
-        self.merge_rows([row].into_iter().chain(newer_caller_row).collect());
+        self.merge_rows([row].into_iter().chain(newer_sender_row).collect());
         self.apply_status(&name, link, stamp, status);
     }
 
@@ -165,7 +166,7 @@
             self.apply_status(&name, &link, stamp, status);
         }
         let newer_row = self.directory.borrow().get(&name).filter(|it| it.stamp > stamp).map(|it| Row::clone(it));
-        HelloResponse { row: self.row(), status: self.proxy_status(), newer_caller_row: newer_row }
+        HelloResponse { row: self.row(), status: self.proxy_status(), newer_sender_row: newer_row }
     }
 
     /// Sends changes of this proxy's endpoint and its standing to all linked peers. Never returns.
@@ -215,7 +216,7 @@
         let row =
             self.directory.borrow().down_rows().collect::<Vec<_>>().choose(&mut rand::rng()).map(|it| Row::clone(it));
         let Some(row) = row else { return };
-        // The proxy is probably down indeed; a failure needs no log line.
+        // The proxy is probably still down, so a failure is not logged.
         let Ok((link, _connection)) = Link::open(&row).await else { return };
         self.exchange(&link).await;
     }
--- a/src/proxy/guard/announcements.rs
+++ b/src/proxy/guard/announcements.rs
@@ -1,6 +1,7 @@
 //! Tracks which incarnation of an endpoint runs on this VM and whether it accepts requests.
 //!
-//! Late announcements of a former incarnation must not replace the current one, and a silent endpoint must not get requests.
+//! Late announcements of a former incarnation must not replace the current one, and a silent endpoint must not get
+//! requests.
 
 use std::{rc::Rc, time::Instant};
 
@@ -81,7 +82,8 @@
         AnnouncementEffect::Unchanged
     }
 
-    /// Handles a successful health check of the endpoint's address. The reply names the endpoint but not its incarnation.
+    /// Handles a successful health check of the endpoint's address. The reply names the endpoint but not its
+    /// incarnation.
     pub fn handle_health_reply(self: &Rc<Self>, it: Announcement) {
         let mut state = self.state.borrow_mut();
         if let Some(known) = &mut state.endpoint
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -1,5 +1,5 @@
-//! Nested calls of the endpoint's runs: which requests of this VM they are, which services they go to, and which failed runs
-//! they explain.
+//! Nested calls of the endpoint's runs: which requests of this VM they are, which services they go to, and which failed
+//! runs they explain.
 
 use std::time::Instant;
 
@@ -20,8 +20,8 @@
 const MAX_UNFINISHED: usize = 256;
 
 impl Guard {
-    /// Classifies a request that this VM received for `route` and `service`, and that expires at `deadline`, as a caller
-    /// request or a nested call.
+    /// Classifies a request that this VM received for `route` and `service`, and that expires at `deadline`, as a
+    /// caller request or a nested call.
     pub fn classify_origin(&self, route: &str, service: &str, deadline: Instant) -> RequestOrigin {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -55,7 +55,7 @@
         matching_runs.map(|it| it.1.into()).collect()
     }
 
-    /// Whether callers use `route`, judged by the reservations requested here; `None` if there were too few.
+    /// Whether callers use `route`, by the reservations requested here; `None` if there were too few.
     pub fn callers_use_route(&self, route: &str) -> Option<bool> {
         self.state.borrow().origin_tracker.used_by_callers(route)
     }
--- a/src/proxy/guard/ledger.rs
+++ b/src/proxy/guard/ledger.rs
@@ -1,7 +1,7 @@
 //! The grants of one guard: each is used at most once, and how it ended is remembered for a while.
 //!
-//! This is what makes the answer "not run" true. It does no I/O, so that tests/grant_ledger.rs can check it against lost,
-//! late and duplicated messages and restarts of guards.
+//! The proxy relies on it to report "not run" only for requests that never run. It does no I/O, so that
+//! tests/grant_ledger.rs can check it against lost, late and duplicated messages and restarts of guards.
 
 use std::time::{Duration, Instant};
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// What the ledger knows about a grant.
+/// The status of a grant in the ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GrantStatus {
     /// The grant was issued and not used yet.
@@ -110,7 +110,8 @@
     incarnation: Incarnation,
     /// Grants that are unused or in use; bounded by the endpoint's slots.
     entries: Vec<GrantEntry>,
-    /// In the order in which the grants ended. A grant revoked unused is listed as not run, so that it never runs later.
+    /// In the order in which the grants ended. A grant revoked unused is listed as not run, so that it never runs
+    /// later.
     ended: Vec<EndedGrant>,
     /// The id of the last grant; ids are never reused.
     last_id: GrantId,
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Whether a failed nested call explains the failure of the run `id`. Each call explains the failure of one run only:
-    /// of those that may have made it, the one that fails first.
+    /// Whether a failed nested call explains the failure of the run `id`. Each call explains the failure of one run
+    /// only: of those that may have made it, the one that fails first.
     pub fn explain_failure_by_call(&mut self, id: GrantId) -> bool {
         let run = self.entries.iter_mut().find(|it| it.id == id).and_then(|it| it.active_run.as_mut());
         let Some(run) = run.filter(|it| !it.failed_calls.is_empty()) else { return false };
@@ -193,8 +194,8 @@
         true
     }
 
-    /// Uses a grant, which works once. Returns `None` if the grant is not an unused one of this incarnation, or is for another
-    /// endpoint.
+    /// Starts the run of a grant; a second run under it is refused. Returns `None` if the grant is not an unused one of
+    /// this incarnation, or is for another endpoint.
     pub fn start_run(&mut self, grant: &Grant, run: ActiveRun) -> Option<&GrantEntry> {
         let same_incarnation = grant.guard == self.incarnation;
         let matches_grant =
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -84,7 +84,7 @@
 pub struct ReservationContext {
     /// The number of guards that share the retry budget of the service.
     pub service_guards: usize,
-    /// Whether a service that requests of this route call has no retry budget left: a retry would call it again.
+    /// Whether runs of this route call a service that has no retry budget left; a retry would call it again.
     pub callee_budget_exhausted: bool,
 }
 
--- a/src/proxy/guard/quarantine.rs
+++ b/src/proxy/guard/quarantine.rs
@@ -1,5 +1,5 @@
-//! Maintains the crash records of requests: evidence from this VM's endpoint is added, records of other proxies and of the
-//! store are merged, so that a request that crashes endpoints is quarantined everywhere.
+//! Maintains the crash records of requests: adds evidence from this VM's endpoint and merges the records of other
+//! proxies and of the store, so that a request that crashes endpoints is quarantined everywhere.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,7 +24,7 @@
     Peer,
     /// A listing of the store, which may be stale.
     Store,
-    /// The store's reply to an attempt to begin a trial.
+    /// The store's reply to the claim of a trial.
     Trial,
 }
 
@@ -158,7 +158,8 @@
         std::mem::take(&mut self.state.borrow_mut().records_to_store)
     }
 
-    /// Schedules a changed crash record for sending and storing, updates metrics and events, and re-evaluates the queue.
+    /// Schedules a changed crash record for sending and storing, updates metrics and events, and re-evaluates the
+    /// queue.
     fn handle_record_change(
         self: &Rc<Self>,
         fingerprint: Fingerprint,
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Queries how a run ended whose answer was lost, for a request that must not run twice: at its guard, or through another
-    /// proxy while the link to the guard is down. The caller bounds the time by a timeout.
+    /// Queries how a run ended whose answer was lost, for a request that must not run twice: at its guard, or through
+    /// another proxy while the link to the guard is down. The caller bounds the time by a timeout.
     async fn resolve_run_end(
         self: &Rc<Self>,
         req: &IngressRequest,
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -1,4 +1,5 @@
-//! Serves the requests that this proxy receives: finds the route, reserves endpoints, runs attempts and sends one response.
+//! Serves the requests that this proxy receives: finds the route, reserves endpoints, runs attempts and sends one
+//! response.
 
 mod attempt;
 mod reserve;
@@ -256,7 +257,7 @@
 }
 
 impl Proxy {
-    /// The facts outside the guard that it needs to decide about a reservation.
+    /// What the guard needs from the rest of the proxy to decide about a reservation.
     pub(super) fn reservation_context(&self, req: &ReserveRequest) -> ReservationContext {
         let is_exhausted = |service: &str| self.retry_budget_exhausted(service);
         ReservationContext {
@@ -308,11 +309,11 @@
                 at
             }
         };
-        let balancers = &mut state.balancers[at].1;
-        if balancers.weights() != weights {
-            *balancers = WeightedRoundRobin::new(weights, &mut rand::rng());
+        let balancer = &mut state.balancers[at].1;
+        if balancer.weights() != weights {
+            *balancer = WeightedRoundRobin::new(weights, &mut rand::rng());
         }
-        route.clusters[balancers.pick()].service.clone()
+        route.clusters[balancer.pick()].service.clone()
     }
 
     /// Makes the response to a request and reports its result in events and metrics.
--- a/src/proxy/ingress/reserve.rs
+++ b/src/proxy/ingress/reserve.rs
@@ -29,8 +29,8 @@
     },
 };
 
-/// How long to wait for one guard before a reservation is requested from the next one too: a few round trips between data
-/// centres. All reservations stay queued; the first grant is taken.
+/// How long to wait for one guard before a reservation is requested from the next one too: a few round trips between
+/// data centres. All reservations stay queued; the first grant is taken.
 const NEXT_GUARD_DELAY: Duration = Duration::from_millis(15);
 /// The initial number of concurrent reservations. More would shorten the wait little and cost CPU time under load.
 const INITIAL_RESERVATIONS: usize = 2;
@@ -38,11 +38,11 @@
 /// distinguished from one with a long queue.
 const EXTRA_RESERVATION_INTERVAL: Duration = Duration::from_millis(120);
 
-/// How long after its start a proxy may still be learning the directory. Until then it waits for endpoints to become known
-/// instead of refusing requests.
+/// How long after its start a proxy may still be learning the directory. Until then it waits for endpoints to become
+/// known instead of refusing requests.
 const STARTUP_PERIOD: Duration = Duration::from_millis(1_500);
-/// How long a request waits for links to open: a restarted proxy has them within a few hundred milliseconds, and a refusal
-/// should be sent soon.
+/// How long a request waits for links to open: a restarted proxy has them within a few hundred milliseconds, and a
+/// refusal should be sent soon.
 const MAX_LINK_WAIT: Duration = Duration::from_millis(700);
 /// The interval of checks for an open link: a few round trips.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(15);
@@ -168,8 +168,8 @@
         Some(ReachableEndpoint { guard: GuardRef::Remote(name.clone(), Rc::clone(link)), candidate, load_age })
     }
 
-    /// Whether endpoints of the service may become reachable soon, because this proxy has just started or is opening a link
-    /// to one of their proxies.
+    /// Whether endpoints of the service may become reachable soon, because this proxy has just started or is opening a
+    /// link to one of their proxies.
     fn may_be_reachable_soon(&self, service: &str) -> bool {
         let now = clock::now();
         if now.saturating_duration_since(self.started) < STARTUP_PERIOD {
--- a/src/proxy/join.rs
+++ b/src/proxy/join.rs
@@ -1,4 +1,5 @@
-//! Joins the fleet at start: reads the presence objects of the other proxies from the platform's store and writes its own.
+//! Joins the fleet at start: reads the presence objects of the other proxies from the platform's store and writes its
+//! own.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,12 +11,12 @@
     proxy::{Proxy, backoff::Backoff, clock},
 };
 
-/// The delay between writing the own presence object and listing all objects again, so that proxies which start together
-/// have written theirs.
+/// The delay between writing the own presence object and listing all objects again, so that proxies which start
+/// together have written theirs.
 const RELIST_DELAY: Duration = Duration::from_millis(1_000);
 /// Proxies write their objects again after a random delay up to this, once the store was restored from a backup.
 const MAX_REPUBLISH_DELAY: Duration = Duration::from_millis(1_000);
-/// How many listings are tried as stale reads, which cost a tenth, before a linearizable one.
+/// How many listings are tried as stale reads before a linearizable one, which costs the store ten times as much.
 const STALE_LISTINGS: u32 = 4;
 
 impl Proxy {
--- a/src/proxy/link_set.rs
+++ b/src/proxy/link_set.rs
@@ -27,12 +27,13 @@
 
 /// The first pause before a reconnection.
 const INITIAL_RECONNECT_PAUSE: Duration = Duration::from_millis(150);
-/// The longest pause before a reconnection. A proxy restarted while the store is unreachable depends on peers that reconnect
-/// to it.
+/// The longest pause before a reconnection. A proxy restarted while the store is unreachable depends on peers that
+/// reconnect to it.
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(1_500);
 /// A peer that is unreachable for this long is marked down, unless most peers are unreachable.
 const MARK_DOWN_AFTER: Duration = Duration::from_secs(40);
-/// A link is no longer kept on behalf of a peer that is unreachable for this long. The peer sends a hello when it is back.
+/// A link is no longer kept on behalf of a peer that is unreachable for this long. The peer sends a hello when it is
+/// back.
 const DROP_PEER_SELECTION_AFTER: Duration = Duration::from_secs(5);
 /// The longest pause between two selections of links, which notice unreachable peers.
 const MAX_UPDATE_PAUSE: Duration = Duration::from_millis(500);
@@ -76,7 +77,8 @@
         Some(Rc::clone(&links[at].1))
     }
 
-    /// Returns a random connected link to a proxy other than `name`. With `prefer_local`, links in this data centre are preferred.
+    /// Returns a random connected link to a proxy other than `name`. With `prefer_local`, links in this data centre are
+    /// preferred.
     pub(super) fn random_connected_link_except(&self, name: &str, prefer_local: bool) -> Option<(ProxyName, Rc<Link>)> {
         let links = self.links.borrow();
         let mut connected: Vec<_> = links.iter().filter(|it| *it.0 != *name && it.1.is_connected()).collect();
@@ -217,8 +219,8 @@
         }
     }
 
-    /// Marks the proxy `name` down, unless this proxy itself seems to be cut off. A marked proxy that is alive refutes the mark
-    /// when gossip brings it there.
+    /// Marks the proxy `name` down, unless this proxy itself seems to be cut off. A proxy that is marked down but
+    /// alive supersedes the mark when gossip brings it there.
     fn mark_down(&self, name: &str) {
         let (connected, total) = self.connected_link_count();
         if connected * 2 < total {
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -134,7 +134,8 @@
 /// Why a guard refused a grant. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantRefusal {
-    /// The VM's endpoint is missing, leaving or of another service, or the work would not end before this proxy stops.
+    /// The VM's endpoint is missing, leaving or of another service, or the request would not end before this proxy
+    /// stops.
     #[serde(rename = "Elsewhere")]
     NotServed,
     /// The endpoint's standing is worse than the request accepts.
@@ -252,7 +253,7 @@
 /// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The grant was revoked, or the guard does not know it.
+    /// The grant was revoked, or the guard has no record of it.
     NoGrant,
     /// No connection to the endpoint could be opened.
     NoConnection,
@@ -333,10 +334,10 @@
     /// The responder's status.
     #[serde(rename = "current")]
     pub status: ProxyStatus,
-    /// The sender's row in the responder's directory, if newer than the one sent: left by an earlier incarnation when the
-    /// sender's clock was set back since.
+    /// The sender's row in the responder's directory, if newer than the one sent. It is then from an earlier
+    /// incarnation of the sender, whose clock was set back since.
     #[serde(rename = "newer")]
-    pub newer_caller_row: Option<Row>,
+    pub newer_sender_row: Option<Row>,
 }
 
 /// Opens an anti-entropy exchange; nothing more is sent if both sides agree.
@@ -346,7 +347,8 @@
     pub digest: u64,
     /// The active configuration version.
     pub version: Version,
-    /// The time since the store last confirmed to any proxy that this version is the newest, as far as the sender knows.
+    /// The time since the store last confirmed to any proxy that this version is the newest, as far as the sender
+    /// knows.
     pub confirmed_ago: Option<Duration>,
     /// The digest of all crash records.
     #[serde(default, rename = "cases")]
--- a/src/proxy/net.rs
+++ b/src/proxy/net.rs
@@ -12,8 +12,8 @@
 
 /// How many connections may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long written bytes may stay unacknowledged. A second of packet loss is tolerated, and a cut is detected within two
-/// seconds.
+/// How long written bytes may stay unacknowledged. A second of packet loss is tolerated, and a cut is detected within
+/// two seconds.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// How long a connection is idle before the first keepalive probe, and the pause between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
--- a/src/proxy/peer_link.rs
+++ b/src/proxy/peer_link.rs
@@ -202,7 +202,8 @@
         self.standing.get().2
     }
 
-    /// Stores the standing of the peer's endpoint unless it is older than the known one. Returns whether the standing changed.
+    /// Stores the standing of the peer's endpoint unless it is older than the known one. Returns whether the standing
+    /// changed.
     pub(super) fn update_standing(&self, stamp: Stamp, status: ProxyStatus) -> bool {
         let (incarnation, revision, before) = self.standing.get();
         if (stamp.incarnation, status.revision) <= (incarnation, revision) {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Records that a call got no response. It lets the link back off.
+    /// Records that a call got no response, which starts or extends the link's backoff.
     pub(super) fn record_failure(&self, now: Instant) {
         self.health.borrow_mut().record_failure(now);
     }
--- a/src/proxy/quarantine_sync.rs
+++ b/src/proxy/quarantine_sync.rs
@@ -1,7 +1,7 @@
 //! Distribution of crash records: the evidence that requests crash endpoints.
 //!
-//! Proxies gossip the records to each other. The store keeps the quarantined requests, so that they survive a restart of
-//! all proxies, and it lets only one proxy begin a trial of a request.
+//! Proxies gossip the records to each other. The store keeps the quarantined requests, so that they survive a restart
+//! of all proxies, and it lets only one proxy claim each trial of a request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -32,8 +32,8 @@
 const GOSSIP_FANOUT: usize = 6;
 /// Maximum age of the data that a stale read of the store returns.
 const MAX_STALENESS: Duration = Duration::from_secs(4);
-/// Timeout for the store's decision whether a trial begins; the request waits for it.
-const TRIAL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for claiming a trial in the store; the request waits for it.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Proxy {
     /// Sends new crash records to some peers, which forward them, and writes those that were found here to the store.
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Loads the quarantine from the store with two stale reads, which cost a tenth of a consistent one. The second
+    /// Loads the quarantine from the store with two stale reads, which cost a tenth of a linearizable one. The second
     /// read returns what was written just before the start.
     pub(super) async fn load_quarantine(self: Rc<Self>) {
         let mut backoff = Backoff::new(&self);
@@ -151,7 +151,7 @@
             crash_record: self.guard.crash_record(fingerprint),
             written_by: self.name.clone(),
         };
-        match timeout(TRIAL_TIMEOUT, self.store.claim_trial(&object)).await {
+        match timeout(CLAIM_TIMEOUT, self.store.claim_trial(&object)).await {
             Ok(Ok(TrialClaim::Claimed(record))) => {
                 self.merge_trial_record(fingerprint, record);
                 true
@@ -161,11 +161,11 @@
                 false
             }
             Ok(Err(error)) => {
-                log::debug!("trial of {fingerprint} not begun: {error}");
+                log::debug!("trial of {fingerprint} not claimed: {error}");
                 false
             }
             Err(_) => {
-                log::debug!("trial of {fingerprint} not begun: no response from the store within {TRIAL_TIMEOUT:?}");
+                log::debug!("trial of {fingerprint} not claimed: no response from the store within {CLAIM_TIMEOUT:?}");
                 false
             }
         }
