--- a/src/daemon/active_config.rs
+++ b/src/daemon/active_config.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Config {
     pub(crate) root: ConfigRoot,
     pub(crate) root_bytes: Vec<u8>,
-    pub(crate) directory: ConfigIndex,
+    pub(crate) index: ConfigIndex,
     /// In the order of the root's parts.
     parts: Vec<Arc<Vec<u8>>>,
 }
@@ -70,8 +70,8 @@
             return Ok(None);
         }
         let parts = self.collect_parts(&root, fetch)?;
-        let directory = ConfigIndex::build(ROOT_KEY, &parts)?;
-        let config = Arc::new(Config { root, root_bytes, directory, parts });
+        let index = ConfigIndex::build(ROOT_KEY, &parts)?;
+        let config = Arc::new(Config { root, root_bytes, index, parts });
         self.activate(&config);
         Ok(Some(config))
     }
--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -62,7 +62,7 @@
 /// Routes a request to find its importance, and passes it to the callers' thread pool, or refuses it if that is full.
 pub(crate) fn accept(daemon: &Arc<Daemon>, req: Request) {
     let config = daemon.config.get();
-    let found = config.as_ref().and_then(|it| it.directory.route(path(req.target())));
+    let found = config.as_ref().and_then(|it| it.index.route(path(req.target())));
     let share = found.map_or(0.5, |it| daemon.pool_share(it.class.importance));
     let cx = Arc::clone(daemon);
     let refused = daemon.pools.callers.handle(req, share, move |req| {
@@ -106,7 +106,7 @@
     }
     let received_at = Instant::now();
     let path: Box<str> = path(req.target()).into();
-    let found = config.directory.route(&path).ok_or(Refusal::NoRoute)?;
+    let found = config.index.route(&path).ok_or(Refusal::NoRoute)?;
     check_account(config, req, found)?;
     check_headers(req)?;
     let ticket = parse_ticket(req, found.class)?;
@@ -130,7 +130,7 @@
     }
     let token = req.header("Authorization").and_then(|it| it.strip_prefix("Bearer "));
     match token {
-        Some(it) if config.directory.has_account(it.trim()) => Ok(()),
+        Some(it) if config.index.has_account(it.trim()) => Ok(()),
         _ => Err(Refusal::UnknownAccount),
     }
 }
@@ -178,7 +178,7 @@
 
 fn run_request(daemon: &Arc<Daemon>, config: &Config, req: Request, prepared: PreparedRequest) {
     let PreparedRequest { path, deadline, ticket, work } = prepared;
-    let found = config.directory.route(&path).expect("the path was routed by this configuration");
+    let found = config.index.route(&path).expect("the path was routed by this configuration");
     let started = Instant::now();
     let ResolvedRoute { service, class, .. } = found;
     let request = RequestContext { service: &service.name, class: &class.name, importance: class.importance, deadline };
--- a/src/daemon/config_watch.rs
+++ b/src/daemon/config_watch.rs
@@ -156,7 +156,7 @@
         match self.config.adopt(root, fetch) {
             Ok(None) => true,
             Ok(Some(config)) => {
-                self.view.update_floors(&config.directory);
+                self.view.update_floors(&config.index);
                 self.phase.handle(PhaseEvent::Configured);
                 log::info!(version = config.root.version; "configuration active");
                 self.queue_gossip(Vec::new());
--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -34,7 +34,7 @@
     let connection = if dispatch.retry || dispatch.leg.is_some() { Connection::New } else { Connection::Pooled };
     match client.call(req, connection, time_left) {
         Ok(resp) => CallResult::Response(resp),
-        Err(silence) => CallResult::Failed(silence),
+        Err(failure) => CallResult::Failed(failure),
     }
 }
 
--- a/src/daemon/endpoint_view.rs
+++ b/src/daemon/endpoint_view.rs
@@ -156,8 +156,8 @@
         Self { data_centre, inner: RwLock::default() }
     }
 
-    /// Replaces the endpoints of the row's daemon; `directory` gives the capacity floors.
-    pub(crate) fn apply_row(&self, row: &Row, directory: Option<&ConfigIndex>) {
+    /// Replaces the endpoints of the row's daemon; `config_index` gives the capacity floors.
+    pub(crate) fn apply_row(&self, row: &Row, config_index: Option<&ConfigIndex>) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         let found = inner.guards.binary_search_by(|it| it.guard.daemon.cmp(&row.name));
         let known = found.ok().map(|at| inner.guards.remove(at));
@@ -170,7 +170,7 @@
         affected.sort();
         affected.dedup();
         for name in affected {
-            inner.replace_targets(&guard, name, endpoints, directory);
+            inner.replace_targets(&guard, name, endpoints, config_index);
         }
         let at = found.unwrap_or_else(|at| at);
         if !services.is_empty() {
@@ -179,11 +179,11 @@
     }
 
     /// Applies the capacity floors of a new configuration.
-    pub(crate) fn update_floors(&self, directory: &ConfigIndex) {
+    pub(crate) fn update_floors(&self, config_index: &ConfigIndex) {
         let mut inner = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         for service in &mut inner.services {
             let targets = service.targets.clone();
-            *service = Arc::new(Service::new(service.name.clone(), targets, Some(directory)));
+            *service = Arc::new(Service::new(service.name.clone(), targets, Some(config_index)));
         }
     }
 
@@ -276,12 +276,12 @@
         guard: &Arc<Guard>,
         name: Box<str>,
         endpoints: &[EndpointRow],
-        directory: Option<&ConfigIndex>,
+        config_index: Option<&ConfigIndex>,
     ) {
         let found = self.services.binary_search_by(|it| it.name.cmp(&name));
         let old: &[Arc<Target>] = found.map_or(&[], |at| &self.services[at].targets);
         let targets = replace_targets(old, guard, &name, endpoints);
-        let service = Arc::new(Service::new(name, targets, directory));
+        let service = Arc::new(Service::new(name, targets, config_index));
         match found {
             Ok(at) if service.targets.is_empty() => _ = self.services.remove(at),
             Ok(at) => self.services[at] = service,
@@ -299,8 +299,8 @@
 }
 
 impl Service {
-    fn new(name: Box<str>, targets: Vec<Arc<Target>>, directory: Option<&ConfigIndex>) -> Self {
-        let floor = directory.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR_PERCENT, |it| it.floor_percent);
+    fn new(name: Box<str>, targets: Vec<Arc<Target>>, config_index: Option<&ConfigIndex>) -> Self {
+        let floor = config_index.and_then(|it| it.service(&name)).map_or(DEFAULT_FLOOR_PERCENT, |it| it.floor_percent);
         let capacities: Vec<_> = targets
             .iter()
             .map(|it| EndpointCapacity {
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -189,10 +189,10 @@
         if self.is_leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
-        match self.tickets.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
+        match self.tickets.begin_run(&forward.ticket, forward.work.fingerprint(), deadline) {
             BeginDecision::Run => {
                 let outcome = self.run_attempts(request, &forward.ticket, &forward.work);
-                Outcome::clone(&self.tickets.settle(forward.ticket.sequence, outcome))
+                Outcome::clone(&self.tickets.record_outcome(forward.ticket.sequence, outcome))
             }
             BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
             BeginDecision::AlreadyRunning => Outcome::Unknown(Doubt::StillRunning),
@@ -231,19 +231,19 @@
     /// Makes one attempt. While its result is unknown, revokes it again and again until the deadline.
     fn run_attempt(&self, request: RequestContext<'_>, ticket: &Ticket, work: &Work, target: &Arc<Target>) -> NextStep {
         let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
-        let Some(leg) = self.tickets.dispatch(ticket, guard) else {
+        let Some(leg) = self.tickets.record_dispatch(ticket, guard) else {
             return NextStep::Finish(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = request.time_left();
         let timeout = FIRST_REPLY_TIMEOUT.min(budget + REPLY_MARGIN);
         let attempt = Attempt { request, work, leg: Some(leg.clone()), connection: Connection::Pooled, budget };
         let sent = self.send(target, &attempt, timeout);
-        let mut verdict = match sent {
+        let mut next_step = match sent {
             Ok(reply) => step_after_reply(reply.outcome),
-            Err(silence) => step_after_connection_failure(silence),
+            Err(failure) => step_after_connection_failure(failure),
         };
-        while verdict == NextStep::QueryAttempt && !request.time_left().is_zero() {
-            verdict = match self.revoke(&target.guard, leg.clone(), request.time_left().min(REVOKE_WAIT)) {
+        while next_step == NextStep::QueryAttempt && !request.time_left().is_zero() {
+            next_step = match self.revoke(&target.guard, leg.clone(), request.time_left().min(REVOKE_WAIT)) {
                 Ok(reply) => {
                     target.guard.record_success();
                     step_after_revoke(reply)
@@ -255,7 +255,7 @@
                 }
             };
         }
-        verdict
+        next_step
     }
 
     /// Revokes an attempt at a guard, which may wait for up to `wait` while the attempt is running.
@@ -283,8 +283,10 @@
                 self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, TICKET_QUERY_TIMEOUT)
             };
             match reply.map(step_after_revoke) {
-                Ok(NextStep::Finish(outcome)) => _ = self.tickets.settle(sequence, outcome),
-                Ok(NextStep::TryAnotherGuard(refusal)) => _ = self.tickets.settle(sequence, Outcome::NotRun(refusal)),
+                Ok(NextStep::Finish(outcome)) => _ = self.tickets.record_outcome(sequence, outcome),
+                Ok(NextStep::TryAnotherGuard(refusal)) => {
+                    _ = self.tickets.record_outcome(sequence, Outcome::NotRun(refusal));
+                }
                 Ok(NextStep::QueryAttempt) | Err(_) => (),
             }
         }
--- a/src/daemon/issued_tickets.rs
+++ b/src/daemon/issued_tickets.rs
@@ -33,13 +33,13 @@
     }
 
     /// Begins a run under a ticket, or returns why none may begin. Waits until `deadline` for a run that is under way.
-    pub(crate) fn begin(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> BeginDecision {
+    pub(crate) fn begin_run(&self, ticket: &Ticket, fingerprint: Fingerprint, deadline: Instant) -> BeginDecision {
         let mut home = lock(&self.home);
         loop {
-            let begin = home.begin_run(ticket, fingerprint);
+            let decision = home.begin_run(ticket, fingerprint);
             let left = deadline.saturating_duration_since(Instant::now());
-            if begin != BeginDecision::AlreadyRunning {
-                return begin;
+            if decision != BeginDecision::AlreadyRunning {
+                return decision;
             }
             if left.is_zero() {
                 return BeginDecision::Ended(Arc::new(Outcome::Unknown(Doubt::StillRunning)));
@@ -50,17 +50,17 @@
     }
 
     /// Records the next attempt under a running ticket and returns its number; `None` if its record has expired.
-    pub(crate) fn dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
+    pub(crate) fn record_dispatch(&self, ticket: &Ticket, guard: GuardIncarnation) -> Option<TicketLeg> {
         let mut home = lock(&self.home);
         let attempt = home.record_dispatch(ticket.sequence, guard)?;
         Some(TicketLeg { ticket: ticket.clone(), attempt, low_water: home.low_water() })
     }
 
     /// Records the outcome of a run, also of one whose outcome was unknown; returns the recorded outcome.
-    pub(crate) fn settle(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
-        let settled = lock(&self.home).record_outcome(sequence, outcome);
+    pub(crate) fn record_outcome(&self, sequence: Sequence, outcome: Outcome) -> Arc<Outcome> {
+        let recorded = lock(&self.home).record_outcome(sequence, outcome);
         self.run_ended.notify_all();
-        settled
+        recorded
     }
 
     /// The state of a ticket.
@@ -76,12 +76,12 @@
     }
 
     /// Removes expired records.
-    pub(crate) fn expire(&self) {
+    pub(crate) fn remove_expired(&self) {
         lock(&self.home).remove_expired(Instant::now());
     }
 
-    /// The number of records.
-    pub(crate) fn tally(&self) -> TicketCounts {
+    /// The numbers of records.
+    pub(crate) fn counts(&self) -> TicketCounts {
         lock(&self.home).counts()
     }
 }
--- a/src/daemon/local_api.rs
+++ b/src/daemon/local_api.rs
@@ -120,7 +120,7 @@
         in_flight: daemon.open_request_count(),
         daemons,
         daemons_down,
-        ticket_records: daemon.tickets.tally().records,
+        ticket_records: daemon.tickets.counts().records,
         guard: daemon.guard.count(),
         endpoints: daemon.guard.rows(),
         services: daemon.view.counts(),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -199,7 +199,7 @@
 fn maintain_tickets(daemon: &Arc<Daemon>) {
     loop {
         thread::sleep(TICKET_MAINTENANCE_INTERVAL);
-        daemon.tickets.expire();
+        daemon.tickets.remove_expired();
         daemon.resolve_unknown();
         daemon.update_gauges();
     }
@@ -277,7 +277,7 @@
     /// The share of a thread pool that requests of this importance may fill, from 0.5 to 1; the most important may fill
     /// all of it.
     fn pool_share(&self, importance: Importance) -> f64 {
-        let share = self.config.get().map_or(1.0, |it| it.directory.share_up_to(importance));
+        let share = self.config.get().map_or(1.0, |it| it.index.share_up_to(importance));
         0.5 + 0.5 * share
     }
 
@@ -294,7 +294,7 @@
     fn ejection_context(&self, endpoint: &str) -> EjectionContext {
         let service = self.guard.service_of(endpoint).unwrap_or_default();
         let config = self.config.get();
-        let weighs = config.as_ref().and_then(|it| it.directory.service(&service)).map(|it| it.weighs);
+        let weighs = config.as_ref().and_then(|it| it.index.service(&service)).map(|it| it.weighs);
         EjectionContext {
             baseline: self.view.baseline_failure_rate(&service, endpoint),
             weighs: weighs.unwrap_or(EjectionPreference::FalseEjections),
@@ -320,7 +320,7 @@
     /// Applies a row to the view. The caller holds the table's lock, so that rows are applied in the table's order.
     fn apply_row(&self, row: &Row) {
         let config = self.config.get();
-        self.view.apply_row(row, config.as_ref().map(|it| &it.directory));
+        self.view.apply_row(row, config.as_ref().map(|it| &it.index));
     }
 
     fn queue_gossip(&self, rows: Vec<Row>) {
@@ -329,8 +329,8 @@
     }
 
     fn update_gauges(&self) {
-        let tally = self.tickets.tally();
-        metrics::gauge!("jayreach_ticket_records").set(tally.records as f64);
+        let counts = self.tickets.counts();
+        metrics::gauge!("jayreach_ticket_records").set(counts.records as f64);
         metrics::gauge!("jayreach_config_version").set(self.config.version() as f64);
         metrics::gauge!("jayreach_uptime_seconds").set(self.started.elapsed().as_secs_f64());
         let pools = [("callers", &self.pools.callers), ("work", &self.pools.work), ("control", &self.pools.control)];
