--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -35,7 +35,7 @@
         if dispatch.retry || dispatch.ticket_attempt.is_some() { Connection::New } else { Connection::Pooled };
     match client.call(req, connection, time_left) {
         Ok(resp) => CallResult::Response(resp),
-        Err(silence) => CallResult::Failed(silence),
+        Err(failure) => CallResult::Failed(failure),
     }
 }
 
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -190,10 +190,10 @@
         if self.is_leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
-        match self.tickets.begin(&forward.ticket, forward.work.fingerprint(), deadline) {
+        match self.tickets.begin_run(&forward.ticket, forward.work.fingerprint(), deadline) {
             BeginDecision::Run => {
                 let outcome = self.run_attempts(request, &forward.ticket, &forward.work);
-                Outcome::clone(&self.tickets.settle(forward.ticket.sequence, outcome))
+                Outcome::clone(&self.tickets.record_outcome(forward.ticket.sequence, outcome))
             }
             BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
             BeginDecision::AlreadyRunning => Outcome::Unknown(UnknownReason::StillRunning),
@@ -238,7 +238,7 @@
         target: &Arc<Target>,
     ) -> NextStep {
         let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
-        let Some(ticket_attempt) = self.tickets.dispatch(ticket, guard) else {
+        let Some(ticket_attempt) = self.tickets.record_dispatch(ticket, guard) else {
             return NextStep::Finish(Outcome::NotRun(Refusal::TooLate));
         };
         let budget = request.time_left();
@@ -251,12 +251,12 @@
             budget,
         };
         let sent = self.send(target, &attempt, timeout);
-        let mut verdict = match sent {
+        let mut next_step = match sent {
             Ok(reply) => step_after_reply(reply.outcome),
-            Err(silence) => step_after_connection_failure(silence),
+            Err(failure) => step_after_connection_failure(failure),
         };
-        while verdict == NextStep::QueryAttempt && !request.time_left().is_zero() {
-            verdict = match self.revoke(&target.guard, ticket_attempt.clone(), request.time_left().min(REVOKE_WAIT)) {
+        while next_step == NextStep::QueryAttempt && !request.time_left().is_zero() {
+            next_step = match self.revoke(&target.guard, ticket_attempt.clone(), request.time_left().min(REVOKE_WAIT)) {
                 Ok(reply) => {
                     target.guard.record_success();
                     step_after_revoke(reply)
@@ -268,7 +268,7 @@
                 }
             };
         }
-        verdict
+        next_step
     }
 
     /// Revokes an attempt at a guard, which may wait for up to `wait` while the attempt is running.
@@ -301,8 +301,10 @@
                 self.peers.call(address, PeerCall::Revoke, &revoke, Connection::New, TICKET_QUERY_TIMEOUT)
             };
             match reply.map(step_after_revoke) {
-                Ok(NextStep::Finish(outcome)) => _ = self.tickets.settle(sequence, outcome),
-                Ok(NextStep::TryAnotherGuard(refusal)) => _ = self.tickets.settle(sequence, Outcome::NotRun(refusal)),
+                Ok(NextStep::Finish(outcome)) => _ = self.tickets.record_outcome(sequence, outcome),
+                Ok(NextStep::TryAnotherGuard(refusal)) => {
+                    _ = self.tickets.record_outcome(sequence, Outcome::NotRun(refusal));
+                }
                 Ok(NextStep::QueryAttempt) | Err(_) => (),
             }
         }
--- a/src/decide/origin.rs
+++ b/src/decide/origin.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-/// How much later than its parent's a nested call's deadline may seem: timeouts are sent in whole milliseconds, and the
-/// call's time in transit is not subtracted.
+/// Tolerance when the deadline of a nested call is compared with its parent's, which it may seem to exceed: timeouts
+/// are sent in whole milliseconds, and the call's time in transit is not subtracted.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// A request that may be running at the endpoint.
@@ -18,7 +18,7 @@
     /// The deadline given to the endpoint.
     pub deadline: Instant,
     /// Share of it that counts as a retry, from 0 to 1.
-    pub repeat_share: f64,
+    pub retry_share: f64,
 }
 
 /// Where a request comes from.
@@ -35,7 +35,7 @@
         /// Ids of the running requests that may have made it; not empty.
         parents: Vec<u64>,
         /// Mean retry share of the parents, from 0 to 1, which the nested call inherits.
-        repeat_share: f64,
+        retry_share: f64,
     },
 }
 
@@ -99,9 +99,9 @@
         if self.is_reported(route) {
             return RequestOrigin::Caller { certain: false };
         }
-        let retry_shares: f64 = parents.iter().map(|it| it.repeat_share).sum();
+        let retry_shares: f64 = parents.iter().map(|it| it.retry_share).sum();
         RequestOrigin::NestedCall {
-            repeat_share: retry_shares / parents.len() as f64,
+            retry_share: retry_shares / parents.len() as f64,
             parents: parents.into_iter().map(|it| it.id).collect(),
         }
     }
@@ -125,10 +125,10 @@
     }
 
     /// Sets whether callers use `route`, as reported by a guard of its service.
-    pub fn set_used_by_callers(&mut self, route: &str, is_callers: bool) {
+    pub fn set_used_by_callers(&mut self, route: &str, used_by_callers: bool) {
         match self.reported.binary_search_by(|it| (*it.0).cmp(route)) {
-            Ok(at) => self.reported[at].1 = is_callers,
-            Err(at) => self.reported.insert(at, (route.into(), is_callers)),
+            Ok(at) => self.reported[at].1 = used_by_callers,
+            Err(at) => self.reported.insert(at, (route.into(), used_by_callers)),
         }
     }
 
--- a/src/proxy/guard/calls.rs
+++ b/src/proxy/guard/calls.rs
@@ -1,5 +1,5 @@
-//! Nested calls of the endpoint's runs: which requests of this VM they are, which services they go to, and which failed runs
-//! they explain.
+//! Nested calls of the endpoint's runs: which requests of this VM they are, which services they go to, and which failed
+//! runs they explain.
 
 use std::time::Instant;
 
@@ -20,8 +20,8 @@
 const MAX_UNFINISHED: usize = 256;
 
 impl Guard {
-    /// Classifies a request that this VM received for `route` and `service`, and that expires at `deadline`, as a caller
-    /// request or a nested call.
+    /// Classifies a request that this VM received for `route` and `service`, and that expires at `deadline`, as a
+    /// caller request or a nested call.
     pub fn classify_origin(&self, route: &str, service: &str, deadline: Instant) -> RequestOrigin {
         let now = clock::now();
         let mut state = self.state.borrow_mut();
@@ -32,7 +32,7 @@
             id,
             route,
             deadline: it.deadline,
-            repeat_share: it.retry_share,
+            retry_share: it.retry_share,
         };
         let running_work: Vec<RunningWork<'_>> = active_runs.chain(unfinished_runs).map(to_running_work).collect();
         let origin = origin_tracker.classify(route, deadline, &running_work);
@@ -55,7 +55,7 @@
         matching_runs.map(|it| it.1.into()).collect()
     }
 
-    /// Whether callers use `route`, judged by the reservations requested here; `None` if there were too few.
+    /// Whether callers use `route`, by the reservations requested here; `None` if there were too few.
     pub fn callers_use_route(&self, route: &str) -> Option<bool> {
         self.state.borrow().origin_tracker.used_by_callers(route)
     }
--- a/src/proxy/guard/mod.rs
+++ b/src/proxy/guard/mod.rs
@@ -84,7 +84,7 @@
 pub struct ReservationContext {
     /// The number of guards that share the retry budget of the service.
     pub service_guards: usize,
-    /// Whether a service that requests of this route call has no retry budget left: a retry would call it again.
+    /// Whether runs of this route call a service that has no retry budget left; a retry would call it again.
     pub callee_budget_exhausted: bool,
 }
 
@@ -174,12 +174,12 @@
 
     /// Adds the slot time since the last call; must be called whenever the use of the slots may have changed.
     fn account_slot_time(&mut self, now: Instant) {
-        let working = saturating_u32(self.ledger.active_runs().count());
+        let running = saturating_u32(self.ledger.active_runs().count());
         let next = self.serving().map_or_else(SlotOccupancy::default, |it| SlotOccupancy {
             slots: it.announcement.slots,
             usable: it.usable_slots(now),
-            offered: saturating_u32(self.ledger.len()) - working,
-            working,
+            unused_grants: saturating_u32(self.ledger.len()) - running,
+            running,
             standing: it.standing_tracker.standing(),
             has_waiters: !self.queue.is_empty(),
         });
@@ -199,7 +199,7 @@
     /// Notified when the endpoint's standing changed.
     pub(super) standing_changed: Notify,
     /// Notified when the crash record of a request changed.
-    pub(super) cases_changed: Notify,
+    pub(super) crash_records_changed: Notify,
 }
 
 impl Guard {
@@ -235,7 +235,7 @@
             run_ended: Notify::new(),
             row_changed: Notify::new(),
             standing_changed: Notify::new(),
-            cases_changed: Notify::new(),
+            crash_records_changed: Notify::new(),
         }
     }
 
--- a/src/proxy/ingress/attempt.rs
+++ b/src/proxy/ingress/attempt.rs
@@ -37,7 +37,7 @@
         let mut last_failure: Option<RequestOutcome> = None;
         let mut moves = 0;
         if self.guard.note_request(req.fingerprint).is_quarantined() {
-            req.is_quarantine_trial.set(self.begin_trial(req.fingerprint).await);
+            req.is_quarantine_trial.set(self.claim_trial(req.fingerprint).await);
         }
         loop {
             if self.is_quarantined(req) {
@@ -94,7 +94,7 @@
 
     /// Whether the request is quarantined and this is not its trial.
     pub(super) fn is_quarantined(&self, req: &IngressRequest) -> bool {
-        self.guard.case(req.fingerprint).is_quarantined() && !req.is_quarantine_trial.get()
+        self.guard.crash_record(req.fingerprint).is_quarantined() && !req.is_quarantine_trial.get()
     }
 
     fn report_failed_attempt(
@@ -164,7 +164,7 @@
     /// When the request may be hedged; its answer deadline if it must not be.
     fn hedge_at(&self, req: &IngressRequest) -> Instant {
         // A request that may have crashed an endpoint runs at one endpoint at a time.
-        let is_suspect = self.guard.case(req.fingerprint).is_suspect();
+        let is_suspect = self.guard.crash_record(req.fingerprint).is_suspect();
         if is_suspect || !req.is_idempotent() || req.attempts.get() + 1 >= req.route().max_attempts {
             return req.answer_deadline;
         }
@@ -204,7 +204,7 @@
         match link.call::<_, RunResponse>(path::RUN, &run).await {
             Ok(it) => {
                 self.apply_guard_report(it.report);
-                self.guard.merge_case(req.fingerprint, it.case);
+                self.guard.merge_crash_record(req.fingerprint, it.crash_record);
                 it.end
             }
             Err(LinkError::NotConnected) => RunEnd::NotRun(NotRunReason::NoGrant),
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Queries how a run ended whose answer was lost, for a request that must not run twice: at its guard, or through another
-    /// proxy while the link to the guard is down. The caller bounds the time by a timeout.
+    /// Queries how a run ended whose answer was lost, for a request that must not run twice: at its guard, or through
+    /// another proxy while the link to the guard is down. The caller bounds the time by a timeout.
     async fn resolve_run_end(
         self: &Rc<Self>,
         req: &IngressRequest,
@@ -232,11 +232,11 @@
         let query = RunQuery { grant };
         loop {
             let (through, found) = if link.is_connected() {
-                (name.into(), link.call_within::<_, RunEnd>(req.time_left(), path::ASK, &query).await)
+                (name.into(), link.call_within::<_, RunEnd>(req.time_left(), path::RUN_QUERY, &query).await)
             } else {
                 match self.random_connected_link_except(name, false) {
                     Some((helper, it)) => {
-                        let relayed_query = RelayedQuery { to: link.address, ask: query.clone() };
+                        let relayed_query = RelayedQuery { guard_address: link.address, query: query.clone() };
                         (helper, it.call_within::<_, RunEnd>(RELAYED_QUERY_TIMEOUT, path::RELAY, &relayed_query).await)
                     }
                     None => (name.into(), None),
--- a/src/proxy/ingress/mod.rs
+++ b/src/proxy/ingress/mod.rs
@@ -1,4 +1,5 @@
-//! Serves the requests that this proxy receives: finds the route, reserves endpoints, runs attempts and sends one response.
+//! Serves the requests that this proxy receives: finds the route, reserves endpoints, runs attempts and sends one
+//! response.
 
 mod attempt;
 mod reserve;
@@ -183,17 +184,19 @@
     }
     let route_index =
         config.routes().iter().position(|it| std::ptr::eq(it, route)).expect("the route is part of this configuration");
-    let body =
-        match timeout(config.limits.head_time.max(route.timeout), client::collect_body(body, config.limits.body_bytes))
-            .await
-        {
-            Ok(Ok(it)) => it,
-            Ok(Err(error)) if client::is_body_too_long(&error) => {
-                return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
-            }
-            Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
-            Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
-        };
+    let body = match timeout(
+        config.limits.header_timeout.max(route.timeout),
+        client::collect_body(body, config.limits.body_bytes),
+    )
+    .await
+    {
+        Ok(Ok(it)) => it,
+        Ok(Err(error)) if client::is_body_too_long(&error) => {
+            return rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+        }
+        Ok(Err(_)) => return rejected(StatusCode::BAD_REQUEST, "body broke off"),
+        Err(_) => return rejected(StatusCode::REQUEST_TIMEOUT, "body too slow"),
+    };
     let caller_deadline = arrived + platform::deadline(&head.headers).unwrap_or(route.timeout);
     let mut forwarded_headers = headers::end_to_end(&head.headers);
     platform::set_caller_service(&mut forwarded_headers, &proxy.settings.borrow().service);
@@ -225,7 +228,7 @@
     let cancel_report = CancelReport { proxy: &proxy, req: &req, answered: Cell::new(false) };
     let request_outcome = tokio::select! {
         it = proxy.serve_request(&req) => it,
-        () = proxy.final_responses_due() => req.without_grant(ReserveFailure::NoCapacity),
+        () = proxy.wait_for_answer_deadline() => req.without_grant(ReserveFailure::NoCapacity),
     };
     cancel_report.answered.set(true);
     proxy.respond(&req, request_outcome)
@@ -254,7 +257,7 @@
 }
 
 impl Proxy {
-    /// The facts outside the guard that it needs to decide about a reservation.
+    /// What the guard needs from the rest of the proxy to decide about a reservation.
     pub(super) fn reservation_context(&self, req: &ReserveRequest) -> ReservationContext {
         let is_exhausted = |service: &str| self.retry_budget_exhausted(service);
         ReservationContext {
@@ -306,11 +309,11 @@
                 at
             }
         };
-        let balancers = &mut state.balancers[at].1;
-        if balancers.weights() != weights {
-            *balancers = WeightedRoundRobin::new(weights, &mut rand::rng());
+        let balancer = &mut state.balancers[at].1;
+        if balancer.weights() != weights {
+            *balancer = WeightedRoundRobin::new(weights, &mut rand::rng());
         }
-        route.clusters[balancers.pick()].service.clone()
+        route.clusters[balancer.pick()].service.clone()
     }
 
     /// Makes the response to a request and reports its result in events and metrics.
@@ -337,7 +340,7 @@
             service: &req.service,
             status: resp.status().as_u16(),
             outcome,
-            quarantined: self.guard.case(req.fingerprint).is_quarantined().then_some(req.fingerprint),
+            quarantined: self.guard.crash_record(req.fingerprint).is_quarantined().then_some(req.fingerprint),
             call: req.is_nested_call(),
             asked: req.guards_asked.get(),
             attempts: req.attempts.get(),
@@ -385,7 +388,7 @@
     /// The part of the request's first attempt that counts as a retry, 0 to 1.
     fn retry_share(&self) -> f64 {
         match self.origin {
-            RequestOrigin::NestedCall { repeat_share, .. } => repeat_share,
+            RequestOrigin::NestedCall { retry_share, .. } => retry_share,
             RequestOrigin::Caller { .. } => 0.0,
         }
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -33,7 +33,7 @@
 pub(super) mod path {
     pub(crate) const RESERVE: &str = "/reserve";
     pub(crate) const RUN: &str = "/run";
-    pub(crate) const ASK: &str = "/ask";
+    pub(crate) const RUN_QUERY: &str = "/ask";
     pub(crate) const RELAY: &str = "/relay";
     pub(crate) const HELLO: &str = "/hello";
     pub(crate) const BRIEF: &str = "/brief";
@@ -41,7 +41,7 @@
     pub(crate) const SUMMARY: &str = "/summary";
     pub(crate) const COMPARE: &str = "/compare";
     pub(crate) const DELIVER: &str = "/deliver";
-    pub(crate) const CASES: &str = "/cases";
+    pub(crate) const CRASH_RECORDS: &str = "/cases";
     pub(crate) const WATCH: &str = "/watch";
 }
 
@@ -109,7 +109,8 @@
     pub fingerprint: Fingerprint,
     /// The crash record of the request at the ingress.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
     /// Whether it is the trial of a quarantined request.
     #[serde(default, rename = "released")]
     pub is_quarantine_trial: bool,
@@ -133,7 +134,8 @@
 /// Why a guard refused a grant. Nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantRefusal {
-    /// The VM's endpoint is missing, leaving or of another service, or the work would not end before this proxy stops.
+    /// The VM's endpoint is missing, leaving or of another service, or the request would not end before this proxy
+    /// stops.
     #[serde(rename = "Elsewhere")]
     NotServed,
     /// The endpoint's standing is worse than the request accepts.
@@ -158,7 +160,8 @@
     pub is_caller_route: Option<bool>,
     /// The crash record of the request at the guard.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
 }
 
 /// Permits one request to run at an endpoint.
@@ -250,7 +253,7 @@
 /// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The grant was revoked, or the guard does not know it.
+    /// The grant was revoked, or the guard has no record of it.
     NoGrant,
     /// No connection to the endpoint could be opened.
     NoConnection,
@@ -270,7 +273,7 @@
     /// The response is malformed or belongs to another request.
     #[serde(rename = "Garbled")]
     MalformedAnswer,
-    /// No response came within the time limit.
+    /// No response came within the time limit. In the reply to a [`RunQuery`]: the run has not ended yet.
     #[serde(rename = "Silent")]
     TimedOut,
     /// The guard has no record of the grant, for example after a restart.
@@ -288,7 +291,8 @@
     pub end: RunEnd,
     /// The crash record of the request at the guard after this run.
     #[serde(default)]
-    pub case: CrashRecord,
+    #[serde(rename = "case")]
+    pub crash_record: CrashRecord,
 }
 
 /// Asks how the run of a grant ended. An unused grant is revoked.
@@ -302,9 +306,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RelayedQuery {
     /// The peer address of the guard.
-    pub to: SocketAddr,
+    #[serde(rename = "to")]
+    pub guard_address: SocketAddr,
     /// The query to forward.
-    pub ask: RunQuery,
+    #[serde(rename = "ask")]
+    pub query: RunQuery,
 }
 
 /// Introduces the sender on a link; sent again whenever its row or its selection changes.
@@ -328,10 +334,10 @@
     /// The responder's status.
     #[serde(rename = "current")]
     pub status: ProxyStatus,
-    /// The sender's row in the responder's directory, if newer than the one sent: left by an earlier incarnation when the
-    /// sender's clock was set back since.
+    /// The sender's row in the responder's directory, if newer than the one sent. It is then from an earlier
+    /// incarnation of the sender, whose clock was set back since.
     #[serde(rename = "newer")]
-    pub newer_caller_row: Option<Row>,
+    pub newer_sender_row: Option<Row>,
 }
 
 /// Opens an anti-entropy exchange; nothing more is sent if both sides agree.
@@ -341,11 +347,12 @@
     pub digest: u64,
     /// The active configuration version.
     pub version: Version,
-    /// The time since the store last confirmed to any proxy that this version is the newest, as far as the sender knows.
+    /// The time since the store last confirmed to any proxy that this version is the newest, as far as the sender
+    /// knows.
     pub confirmed_ago: Option<Duration>,
     /// The digest of all crash records.
     #[serde(default, rename = "cases")]
-    pub cases_digest: u64,
+    pub crash_records_digest: u64,
     /// The newest store era that the sender has seen; it goes up with each restore from a backup.
     #[serde(default, rename = "era")]
     pub store_era: Option<Era>,
@@ -355,7 +362,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct QuarantineExchange {
     /// The sender's crash records.
-    pub cases: Vec<CrashRecordUpdate>,
+    #[serde(rename = "cases")]
+    pub crash_records: Vec<CrashRecordUpdate>,
     /// Whether the receiver responds with its own crash records.
     #[serde(rename = "exchange")]
     pub wants_reply: bool,
--- a/src/proxy/peer_server.rs
+++ b/src/proxy/peer_server.rs
@@ -38,7 +38,9 @@
     match head.uri.path() {
         path::RESERVE => decode_and_reply(&body, |it| proxy.reserve(it)).await,
         path::RUN => decode_and_reply(&body, |it| proxy.run_request(it)).await,
-        path::ASK => decode_and_reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await,
+        path::RUN_QUERY => {
+            decode_and_reply(&body, async |it: RunQuery| proxy.guard.query_run_end(&it.grant).await).await
+        }
         path::RELAY => decode_and_reply(&body, |it| proxy.relay_query(it)).await,
         path::HELLO => decode_and_reply(&body, async |it| proxy.answer_hello(it)).await,
         path::BRIEF => decode_and_reply(&body, async |it| proxy.apply_status_update(&it)).await,
@@ -46,7 +48,7 @@
         path::SUMMARY => decode_and_reply(&body, async |it| proxy.answer_summary(it)).await,
         path::COMPARE => decode_and_reply(&body, async |it| proxy.answer_compare(&it)).await,
         path::WATCH => decode_and_reply(&body, async |()| proxy.start_substituting()).await,
-        path::CASES => decode_and_reply(&body, async |it| proxy.exchange_cases(&it)).await,
+        path::CRASH_RECORDS => decode_and_reply(&body, async |it| proxy.exchange_crash_records(&it)).await,
         path::DELIVER => decode_and_reply(&body, async |it| proxy.answer_deliver(it)).await,
         _ => response(StatusCode::NOT_FOUND, Bytes::new()),
     }
@@ -88,41 +90,47 @@
             it.request_hello();
         }
         let result = self.guard.reserve(&req, self.reservation_context(&req)).await;
-        let case = self.guard.case(req.fingerprint);
+        let crash_record = self.guard.crash_record(req.fingerprint);
         ReserveResponse {
             report: self.guard_report(),
             result,
             is_caller_route: self.guard.callers_use_route(&req.route),
-            case,
+            crash_record,
         }
     }
 
     async fn run_request(self: &Rc<Self>, run: RunRequest) -> RunResponse {
         let fingerprint = run.fingerprint;
         let end = self.guard.run(run).await;
-        RunResponse { report: self.guard_report(), end, case: self.guard.case(fingerprint) }
+        RunResponse { report: self.guard_report(), end, crash_record: self.guard.crash_record(fingerprint) }
     }
 
-    async fn relay_query(self: &Rc<Self>, query: RelayedQuery) -> RunEnd {
-        match self.forward_query(&query).await {
+    async fn relay_query(self: &Rc<Self>, relayed: RelayedQuery) -> RunEnd {
+        match self.forward_query(&relayed).await {
             Ok(it) => it,
             Err(error) => {
-                log::debug!("forwarding a run query to {}: {error}", query.to);
+                log::debug!("forwarding a run query to {}: {error}", relayed.guard_address);
                 RunEnd::Unknown(UnknownReason::TimedOut)
             }
         }
     }
 
     /// Sends a query to its guard, on the link to it or on a new connection.
-    async fn forward_query(&self, query: &RelayedQuery) -> Result<RunEnd, LinkError> {
-        let link = self.links.borrow().iter().find(|it| it.1.address == query.to).map(|it| Rc::clone(&it.1));
+    async fn forward_query(&self, relayed: &RelayedQuery) -> Result<RunEnd, LinkError> {
+        let link =
+            self.links.borrow().iter().find(|it| it.1.address == relayed.guard_address).map(|it| Rc::clone(&it.1));
         if let Some(it) = link {
-            return it.call(path::ASK, &query.ask).await;
+            return it.call(path::RUN_QUERY, &relayed.query).await;
         }
-        let row = self.directory.borrow().members().find(|it| it.1.peer_address == query.to).map(|it| Arc::clone(it.1));
+        let row = self
+            .directory
+            .borrow()
+            .members()
+            .find(|it| it.1.peer_address == relayed.guard_address)
+            .map(|it| Arc::clone(it.1));
         let Some(row) = row else { return Err(LinkError::NotConnected) };
         let (link, _connection) = Link::open(&row).await?;
-        link.call(path::ASK, &query.ask).await
+        link.call(path::RUN_QUERY, &relayed.query).await
     }
 
     /// The active configuration with its findings, if it is newer than `known`.
