--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -14,8 +14,8 @@
     rows::DaemonId,
     store::{Object, ObjectStore, ObjectVersion, StoreError, WriteCondition},
     targets::{
-        ChangeId, ConfigChange, ConfigRoot, Difference, Digest, PartRef, Targets, Version, differences, digest, join,
-        split,
+        ChangeId, ConfigChange, ConfigRoot, Difference, Digest, PartRef, Targets, Version, differences, digest,
+        join_parts, split,
     },
     util,
 };
@@ -98,7 +98,7 @@
     for it in &root.parts {
         parts.push(load_part(store, it)?);
     }
-    join(ROOT_KEY, &parts)
+    join_parts(ROOT_KEY, &parts)
 }
 
 fn load_part(store: &dyn ObjectStore, part: &PartRef) -> Result<Vec<u8>, Error> {
--- a/src/targets/mod.rs
+++ b/src/targets/mod.rs
@@ -11,5 +11,6 @@
 pub use model::{Account, Class, EjectionPreference, Importance, Route, Service, Targets, TokenHash, hash_token};
 pub use parse::{TargetsFile, parse_targets, write_targets};
 pub use parts::{
-    ChangeId, ConfigChange, ConfigRoot, Digest, Part, PartRef, Version, decode as decode_object, digest, join, split,
+    ChangeId, ConfigChange, ConfigRoot, Digest, Part, PartRef, Version, decode as decode_object, digest, join_parts,
+    split,
 };
--- a/src/targets/parts.rs
+++ b/src/targets/parts.rs
@@ -88,7 +88,7 @@
 }
 
 /// Joins the encoded parts of a configuration; `context` names it in errors.
-pub fn join(context: &str, parts: &[impl AsRef<Vec<u8>>]) -> Result<Targets, Error> {
+pub fn join_parts(context: &str, parts: &[impl AsRef<Vec<u8>>]) -> Result<Targets, Error> {
     let mut targets = Targets::default();
     for bytes in parts {
         match decode(context, bytes.as_ref())? {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use jayreach::{
     settings::Settings,
-    targets::{ConfigIndex, differences, join, parse_targets, split, write_targets},
+    targets::{ConfigIndex, differences, join_parts, parse_targets, split, write_targets},
 };
 use rstest::rstest;
 
@@ -57,7 +57,7 @@
 
     let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("written targets can be parsed");
     let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
-    let joined = join("parts", &parts).expect("parts made by split");
+    let joined = join_parts("parts", &parts).expect("parts made by split");
 
     assert_eq!(read_back.based_on, Some(7));
     assert_eq!(read_back.targets, targets);
