--- a/src/proxy/events.rs
+++ b/src/proxy/events.rs
@@ -182,7 +182,7 @@
     /// Token bucket of routine lines.
     routine_tokens: Cell<f64>,
     refilled_at: Cell<Instant>,
-    /// Lines left out since the last [`Event::Dropped`]: sampled, and for want of queue space.
+    /// Lines left out since the last [`Event::Dropped`]: by sampling, and because the queue was full.
     dropped: RefCell<(u64, u64)>,
 }
 
