--- a/src/daemon/caller_api.rs
+++ b/src/daemon/caller_api.rs
@@ -97,7 +97,7 @@
     path: Box<str>,
     deadline: Instant,
     ticket: Option<Ticket>,
-    work: CallerRequest,
+    caller_request: CallerRequest,
 }
 
 fn prepare(daemon: &Daemon, config: &Config, req: &Request) -> Result<PreparedRequest, Refusal> {
@@ -115,13 +115,13 @@
         BodyError::TooLarge => Refusal::TooLarge,
         BodyError::Unreadable => Refusal::BadRequest,
     })?;
-    let work = CallerRequest {
+    let caller_request = CallerRequest {
         method: req.method().as_str().into(),
         target: req.target().into(),
         headers: forwarded_headers(req, found.public),
         body: body.to_vec(),
     };
-    Ok(PreparedRequest { path, deadline: received_at + time_limit, ticket, work })
+    Ok(PreparedRequest { path, deadline: received_at + time_limit, ticket, caller_request })
 }
 
 fn check_account(config: &Config, req: &Request, found: ResolvedRoute<'_>) -> Result<(), Refusal> {
@@ -177,14 +177,14 @@
 }
 
 fn run_request(daemon: &Arc<Daemon>, config: &Config, req: Request, prepared: PreparedRequest) {
-    let PreparedRequest { path, deadline, ticket, work } = prepared;
+    let PreparedRequest { path, deadline, ticket, caller_request } = prepared;
     let found = config.index.route(&path).expect("the path was routed by this configuration");
     let started = Instant::now();
     let ResolvedRoute { service, class, .. } = found;
     let request = RequestContext { service: &service.name, class: &class.name, importance: class.importance, deadline };
     let outcome = match ticket {
-        Some(ticket) => daemon.run_ticketed(request, &ticket, work),
-        None => daemon.run_idempotent(request, &work),
+        Some(ticket) => daemon.run_ticketed(request, &ticket, caller_request),
+        None => daemon.run_idempotent(request, &caller_request),
     };
     record_metrics(&class.name, &outcome, started.elapsed());
     respond_outcome(req, outcome);
@@ -200,8 +200,8 @@
     match outcome {
         Outcome::Done(answer) => respond_done(req, answer),
         Outcome::NotRun(refusal) => refuse(req, refusal, None),
-        Outcome::Unknown(doubt @ UnknownReason::TicketExpired) => respond_unknown(req, 410, doubt),
-        Outcome::Unknown(doubt) => respond_unknown(req, 504, doubt),
+        Outcome::Unknown(reason @ UnknownReason::TicketExpired) => respond_unknown(req, 410, reason),
+        Outcome::Unknown(reason) => respond_unknown(req, 504, reason),
     }
 }
 
@@ -213,13 +213,13 @@
     respond(req, answer.status, &headers, answer.body);
 }
 
-fn respond_unknown(req: Request, status: u16, doubt: UnknownReason) {
-    let message = match doubt {
+fn respond_unknown(req: Request, status: u16, reason: UnknownReason) {
+    let message = match reason {
         UnknownReason::TicketExpired => "the ticket's record is gone; it never runs again",
         UnknownReason::TicketUsed => "this request did not run, but the ticket was used before; ask for its state",
         _ => "the work may have run; ask again with the same ticket, or GET /.jayreach/tickets/TICKET",
     };
-    let reply = OutcomeBody { outcome: "unknown", reason: doubt, message };
+    let reply = OutcomeBody { outcome: "unknown", reason, message };
     let body = serde_json::to_vec(&reply).expect("a response body can be serialized");
     let headers = [("Content-Type", "application/json"), ("Jayreach-Outcome", "unknown")];
     respond(req, status, &headers, body);
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -70,7 +70,7 @@
 /// One attempt at a request.
 struct Attempt<'a> {
     request: RequestContext<'a>,
-    work: &'a CallerRequest,
+    caller_request: &'a CallerRequest,
     /// Present exactly if the class is not idempotent.
     ticket_attempt: Option<TicketAttempt>,
     connection: Connection,
@@ -80,7 +80,7 @@
 
 impl Daemon {
     /// Runs an idempotent request, with retries as far as the retry budget and the deadline allow.
-    pub(crate) fn run_idempotent(&self, request: RequestContext<'_>, work: &CallerRequest) -> Outcome {
+    pub(crate) fn run_idempotent(&self, request: RequestContext<'_>, caller_request: &CallerRequest) -> Outcome {
         self.budgets.deposit(request.class);
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Outcome::NotRun(Refusal::TooLate);
@@ -96,8 +96,13 @@
             };
             let (connection, share) =
                 if tried.is_empty() { (Connection::Pooled, FIRST_ATTEMPT_SHARE) } else { (Connection::New, 1.0) };
-            let attempt =
-                Attempt { request, work, ticket_attempt: None, connection, budget: request.time_left().mul_f64(share) };
+            let attempt = Attempt {
+                request,
+                caller_request,
+                ticket_attempt: None,
+                connection,
+                budget: request.time_left().mul_f64(share),
+            };
             last = self.attempt_idempotent(&target, &attempt);
             if is_conclusive(&last) {
                 return last;
@@ -135,7 +140,7 @@
             budget_ms: attempt.budget.as_millis() as u64,
             retry: attempt.connection == Connection::New,
             ticket_attempt: attempt.ticket_attempt.clone(),
-            work: attempt.work.clone(),
+            work: attempt.caller_request.clone(),
         };
         let ticketed = dispatch.ticket_attempt.is_some();
         let in_flight = target.start_request();
@@ -160,14 +165,19 @@
     }
 
     /// Runs a request under a ticket: here if this daemon issued the ticket, otherwise at the ticket's home.
-    pub(crate) fn run_ticketed(&self, request: RequestContext<'_>, ticket: &Ticket, work: CallerRequest) -> Outcome {
+    pub(crate) fn run_ticketed(
+        &self,
+        request: RequestContext<'_>,
+        ticket: &Ticket,
+        caller_request: CallerRequest,
+    ) -> Outcome {
         let forward = Forward {
             ticket: ticket.clone(),
             budget_ms: request.time_left().as_millis() as u64,
             service: request.service.into(),
             class: request.class.into(),
             importance: request.importance,
-            work,
+            work: caller_request,
         };
         if ticket.home == self.settings.name {
             return self.run_at_home(&forward);
@@ -206,7 +216,7 @@
 
     /// Makes attempts under a running ticket. Another guard is tried only after the last attempt certainly did not run
     /// and can't run later.
-    fn run_attempts(&self, request: RequestContext<'_>, ticket: &Ticket, work: &CallerRequest) -> Outcome {
+    fn run_attempts(&self, request: RequestContext<'_>, ticket: &Ticket, caller_request: &CallerRequest) -> Outcome {
         let mut tried: Vec<Arc<Target>> = Vec::new();
         let mut last = Refusal::TooLate;
         self.budgets.deposit(request.class);
@@ -219,7 +229,7 @@
                 Err(refusal) if tried.is_empty() => return Outcome::NotRun(refusal),
                 Err(_) => break,
             };
-            match self.run_attempt(request, ticket, work, &target) {
+            match self.run_attempt(request, ticket, caller_request, &target) {
                 NextStep::Finish(outcome) => return outcome,
                 NextStep::TryAnotherGuard(refusal) => last = refusal,
                 NextStep::QueryAttempt => return Outcome::Unknown(UnknownReason::GuardSilent),
@@ -234,7 +244,7 @@
         &self,
         request: RequestContext<'_>,
         ticket: &Ticket,
-        work: &CallerRequest,
+        caller_request: &CallerRequest,
         target: &Arc<Target>,
     ) -> NextStep {
         let guard = GuardIncarnation { daemon: target.guard.daemon.clone(), incarnation: target.guard.incarnation };
@@ -245,7 +255,7 @@
         let timeout = FIRST_REPLY_TIMEOUT.min(budget + REPLY_MARGIN);
         let attempt = Attempt {
             request,
-            work,
+            caller_request,
             ticket_attempt: Some(ticket_attempt.clone()),
             connection: Connection::Pooled,
             budget,
