--- a/src/daemon/endpoint.rs
+++ b/src/daemon/endpoint.rs
@@ -40,7 +40,7 @@
 }
 
 fn request(dispatch: &Dispatch, time_left: Duration) -> Option<Request<Vec<u8>>> {
-    let CallerRequest { method, target, headers, body } = &dispatch.work;
+    let CallerRequest { method, target, headers, body } = &dispatch.request;
     let mut req = Request::builder().method(&**method).uri(format!("http://{}{target}", dispatch.endpoint));
     for Header { name, value } in headers {
         req = req.header(&**name, &**value);
--- a/src/daemon/ingress.rs
+++ b/src/daemon/ingress.rs
@@ -135,7 +135,7 @@
             budget_ms: attempt.budget.as_millis() as u64,
             retry: attempt.connection == Connection::New,
             ticket_attempt: attempt.ticket_attempt.clone(),
-            work: attempt.work.clone(),
+            request: attempt.work.clone(),
         };
         let ticketed = dispatch.ticket_attempt.is_some();
         let in_flight = target.start_request();
@@ -167,7 +167,7 @@
             service: request.service.into(),
             class: request.class.into(),
             importance: request.importance,
-            work,
+            request: work,
         };
         if ticket.home == self.settings.name {
             return self.run_at_home(&forward);
@@ -190,9 +190,9 @@
         if self.is_leaving() && !self.may_have_run(&forward.ticket) {
             return Outcome::NotRun(Refusal::ShuttingDown);
         }
-        match self.tickets.begin_run(&forward.ticket, forward.work.fingerprint(), deadline) {
+        match self.tickets.begin_run(&forward.ticket, forward.request.fingerprint(), deadline) {
             BeginDecision::Run => {
-                let outcome = self.run_attempts(request, &forward.ticket, &forward.work);
+                let outcome = self.run_attempts(request, &forward.ticket, &forward.request);
                 Outcome::clone(&self.tickets.record_outcome(forward.ticket.sequence, outcome))
             }
             BeginDecision::Ended(outcome) => Outcome::clone(&outcome),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -217,7 +217,8 @@
     #[serde(rename = "leg")]
     pub ticket_attempt: Option<TicketAttempt>,
     /// The caller's request.
-    pub work: CallerRequest,
+    #[serde(rename = "work")]
+    pub request: CallerRequest,
 }
 
 /// A guard's reply to a dispatch, with the endpoint's load for the ingress's next selection.
@@ -272,7 +273,8 @@
     /// Importance of the request for load shedding.
     pub importance: Importance,
     /// The caller's request.
-    pub work: CallerRequest,
+    #[serde(rename = "work")]
+    pub request: CallerRequest,
 }
 
 /// Asks a ticket home or a guard for the status of a ticket.
