--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -277,7 +277,7 @@
     /// The share of a thread pool that requests of this importance may fill, from 0.5 to 1; the most important may fill
     /// all of it.
     fn pool_share(&self, importance: Importance) -> f64 {
-        let share = self.config.get().map_or(1.0, |it| it.index.share_up_to(importance));
+        let share = self.config.get().map_or(1.0, |it| it.index.class_fraction_up_to(importance));
         0.5 + 0.5 * share
     }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -139,7 +139,7 @@
     }
 
     /// Wraps a store error; `context` names the operation or the key.
-    pub fn platform(context: impl Into<Box<str>>, source: StoreError) -> Self {
+    pub fn store(context: impl Into<Box<str>>, source: StoreError) -> Self {
         Self::Store { context: context.into(), source }
     }
 
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -15,7 +15,7 @@
     store::{Object, ObjectStore, ObjectVersion, StoreError, WriteCondition},
     targets::{
         ChangeId, ConfigChange, ConfigRoot, Difference, Digest, PartRef, Targets, Version, differences, digest,
-        join_parts, split,
+        join_parts, split_targets,
     },
     util,
 };
@@ -83,7 +83,7 @@
 
 /// Reads the active root, with the store's version of it; `None` if there is no configuration yet.
 pub fn current_root(store: &dyn ObjectStore) -> Result<Option<(ObjectVersion, ConfigRoot)>, Error> {
-    let object = store.get(ROOT_KEY).map_err(|it| Error::platform("reading the configuration", it))?;
+    let object = store.get(ROOT_KEY).map_err(|it| Error::store("reading the configuration", it))?;
     object.map(|it| decode_root(&it)).transpose()
 }
 
@@ -103,7 +103,7 @@
 
 fn load_part(store: &dyn ObjectStore, part: &PartRef) -> Result<Vec<u8>, Error> {
     let key = part_key(&part.0);
-    let object = store.get(&key).map_err(|it| Error::platform(key.clone(), it))?;
+    let object = store.get(&key).map_err(|it| Error::store(key.clone(), it))?;
     let object = object.filter(|it| digest(&it.value) == part.0);
     let missing = || Error::Corrupt {
         context: key.into(),
@@ -169,7 +169,7 @@
     ConfigRoot {
         version: old.map_or(1, |it| it.version + 1),
         parent: old.map_or(0, |it| it.change.id),
-        parts: split(targets).iter().map(|it| PartRef(it.digest)).collect(),
+        parts: split_targets(targets).iter().map(|it| PartRef(it.digest)).collect(),
         change,
     }
 }
@@ -178,13 +178,13 @@
 fn store_parts(store: &dyn ObjectStore, targets: &Targets, old: Option<&ConfigRoot>) -> Result<(), Error> {
     let mut known: Vec<_> = old.map_or_else(Vec::new, |it| it.parts.clone());
     known.sort();
-    for part in split(targets) {
+    for part in split_targets(targets) {
         if known.binary_search(&PartRef(part.digest)).is_ok() {
             continue;
         }
         match store.put(&part_key(&part.digest), &part.bytes, WriteCondition::Absent) {
             Ok(_) | Err(StoreError::Conflict) => (),
-            Err(it) => return Err(Error::platform("writing a part", it)),
+            Err(it) => return Err(Error::store("writing a part", it)),
         }
     }
     Ok(())
@@ -206,7 +206,7 @@
     store
         .put(&audit_key(root.version, root.change.id), &bytes, WriteCondition::Unconditional)
         .map(|_| ())
-        .map_err(|it| Error::platform("writing the audit entry", it))
+        .map_err(|it| Error::store("writing the audit entry", it))
 }
 
 /// Writes the root. If the write fails, checks in the audit trail whether it took effect.
@@ -229,7 +229,7 @@
             Ok(true) => return Ok(()),
             Ok(false) if matches!(error, StoreError::Conflict) => return Err(conflict_error(store)),
             Ok(false) | Err(_) if Instant::now() < deadline => pause(&mut backoff),
-            Ok(false) | Err(_) => return Err(Error::platform("accepting the change; it may be in force", error)),
+            Ok(false) | Err(_) => return Err(Error::store("accepting the change; it may be in force", error)),
         }
     }
 }
@@ -259,7 +259,7 @@
     let (mut version, mut change) = (root.version, root.change.id);
     while entries.len() < limit && version >= oldest.max(1) {
         let key = audit_key(version, change);
-        let object = store.get(&key).map_err(|it| Error::platform(key.clone(), it))?;
+        let object = store.get(&key).map_err(|it| Error::store(key.clone(), it))?;
         let Some(object) = object else { break };
         let entry: AuditEntry = crate::targets::decode_object(&key, &object.value)?;
         (version, change) = (version - 1, entry.parent);
--- a/src/targets/config_index.rs
+++ b/src/targets/config_index.rs
@@ -46,7 +46,7 @@
 }
 
 impl ConfigIndex {
-    /// Builds the index from encoded parts; the part with classes and services comes first, as `split` orders them.
+    /// Builds the index from encoded parts; the part with classes and services comes first, as in `split_targets`.
     /// Decodes one part at a time to limit memory.
     ///
     /// Fails if a part cannot be decoded or a route refers to an unknown service or class; `context` names the
@@ -115,7 +115,7 @@
     }
 
     /// The fraction of classes whose importance is at most `importance`.
-    pub fn share_up_to(&self, importance: Importance) -> f64 {
+    pub fn class_fraction_up_to(&self, importance: Importance) -> f64 {
         let count = self.classes.iter().filter(|it| it.importance <= importance).count();
         count as f64 / self.classes.len().max(1) as f64
     }
--- a/src/targets/mod.rs
+++ b/src/targets/mod.rs
@@ -12,5 +12,5 @@
 pub use parse::{TargetsFile, parse_targets, write_targets};
 pub use parts::{
     ChangeId, ConfigChange, ConfigRoot, Digest, Part, PartRef, Version, decode as decode_object, digest, join_parts,
-    split,
+    split_targets,
 };
--- a/src/targets/parts.rs
+++ b/src/targets/parts.rs
@@ -32,7 +32,7 @@
     pub change: ConfigChange,
     /// The previous change; the audit trail is read by following it.
     pub parent: ChangeId,
-    /// The parts, in the order of [`split`].
+    /// The parts, in the order of [`split_targets`].
     pub parts: Vec<PartRef>,
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// Splits targets into parts. Equal targets give equal parts.
-pub fn split(targets: &Targets) -> Vec<Part> {
+pub fn split_targets(targets: &Targets) -> Vec<Part> {
     let classes = targets.classes.clone();
     let services = targets.services.clone();
     let mut parts = vec![encode(&PartContent::Base { classes, services })];
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -14,7 +14,8 @@
         HigherIncarnationPolicy, MemberTable, Row, Stamp, member_key,
     },
     targets::{
-        Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token, split,
+        Account, Class, ConfigIndex, EjectionPreference, Route, Service, Targets, differences, hash_token,
+        split_targets,
     },
     ticket::{DispatchLedger, GuardIncarnation, TicketHome},
     wire::{EndpointResponse, Outcome, TicketAttempt, encode},
@@ -240,17 +241,18 @@
 fn configuration() {
     println!("# configuration: 22,000 routes, 910 services, 190,000 accounts");
     let targets = large_targets(22_000, 910, 190_000);
-    let parts = split(&targets);
+    let parts = split_targets(&targets);
     let total: usize = parts.iter().map(|it| it.bytes.len()).sum();
     let largest = parts.iter().map(|it| it.bytes.len()).max().unwrap_or(0);
     println!("{} parts, {total} bytes, the largest {largest}", parts.len());
     let mut changed = targets.clone();
     changed.accounts[77].token_hash[31] ^= 1;
     let digests: Vec<_> = parts.iter().map(|it| it.digest).collect();
-    let moved: usize = split(&changed).iter().filter(|it| !digests.contains(&it.digest)).map(|it| it.bytes.len()).sum();
+    let moved: usize =
+        split_targets(&changed).iter().filter(|it| !digests.contains(&it.digest)).map(|it| it.bytes.len()).sum();
     let root = parts.len() * 34 + 100;
     println!("one account changed: {moved} bytes of parts and about {root} of root to each daemon");
-    let split_ms = median(|| timed(|| split(&targets)));
+    let split_ms = median(|| timed(|| split_targets(&targets)));
     let diff_ms = median(|| timed(|| differences(&targets, &changed)));
     println!("cutting into parts {:.0} ms, comparing {:.0} ms (operator's command)", split_ms.0, diff_ms.0);
     let bytes: Vec<_> = parts.into_iter().map(|it| it.bytes).collect();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use jayreach::{
     settings::Settings,
-    targets::{ConfigIndex, differences, join_parts, parse_targets, split, write_targets},
+    targets::{ConfigIndex, differences, join_parts, parse_targets, split_targets, write_targets},
 };
 use rstest::rstest;
 
@@ -56,8 +56,8 @@
     let targets = parse_targets("t.toml", &good_targets()).expect("good targets").targets;
 
     let read_back = parse_targets("shown", &write_targets(&targets, 7)).expect("written targets can be parsed");
-    let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
-    let joined = join_parts("parts", &parts).expect("parts made by split");
+    let parts: Vec<_> = split_targets(&targets).into_iter().map(|it| it.bytes).collect();
+    let joined = join_parts("parts", &parts).expect("parts made by split_targets");
 
     assert_eq!(read_back.based_on, Some(7));
     assert_eq!(read_back.targets, targets);
@@ -75,9 +75,9 @@
     let charges =
         "[[route]]\nprefix = \"/billing/charges\"\nservice = \"billing\"\nclass = \"charge\"\npublic = true\n";
     let targets = parse_targets("t.toml", &(good_targets() + charges)).expect("good targets").targets;
-    let parts: Vec<_> = split(&targets).into_iter().map(|it| it.bytes).collect();
+    let parts: Vec<_> = split_targets(&targets).into_iter().map(|it| it.bytes).collect();
 
-    let index = ConfigIndex::build("parts", &parts).expect("parts made by split");
+    let index = ConfigIndex::build("parts", &parts).expect("parts made by split_targets");
 
     // Only the longer prefix is public.
     let found = index.route(path).map(|it| if it.public { "/billing/charges" } else { "/billing" });
