--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -209,9 +209,9 @@
             let mut passed = true;
             for seed in seed..seed + count {
                 let options = platform::soak::SoakOptions { seed, duration, proxies, crashing, restoring, verbose };
-                let verdict = platform::soak::run(&options)?;
-                println!("seed {seed}: {}: {verdict}", if verdict.passed() { "kept" } else { "BROKEN" });
-                passed &= verdict.passed();
+                let report = platform::soak::run(&options)?;
+                println!("seed {seed}: {}: {report}", if report.passed() { "kept" } else { "BROKEN" });
+                passed &= report.passed();
             }
             Ok(passed)
         }
--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone)]
 pub struct CallerRequest<'a> {
     /// Method and target, separated by a space.
-    pub line: &'a str,
+    pub method_and_target: &'a str,
     /// Value of `Host`.
     pub host: &'a str,
     /// Value of `X-Request-Id`; the header is left out if this is empty.
-    pub request: &'a str,
+    pub request_id: &'a str,
     /// Value of `X-Deadline-Ms`; the caller's own read timeout is five seconds longer.
     pub deadline: Duration,
     /// Request body.
@@ -28,10 +28,10 @@
     pub fn encode(&self) -> Vec<u8> {
         let deadline = self.deadline.as_millis().to_string();
         let mut headers = vec![("Host", self.host), ("X-Deadline-Ms", &deadline), ("X-Caller-Service", "forged")];
-        if !self.request.is_empty() {
-            headers.push(("X-Request-Id", self.request));
+        if !self.request_id.is_empty() {
+            headers.push(("X-Request-Id", self.request_id));
         }
-        http::encode(&format!("{} HTTP/1.1", self.line), &headers, self.body)
+        http::encode(&format!("{} HTTP/1.1", self.method_and_target), &headers, self.body)
     }
 
     /// Opens a connection and sends the request; the response can be read from the returned stream.
--- a/standins/src/platform/endpoint.rs
+++ b/standins/src/platform/endpoint.rs
@@ -55,9 +55,9 @@
 #[derive(Debug, Clone)]
 pub struct Arrival {
     /// Value of `X-Request-Id`; empty if it is missing.
-    pub request: String,
+    pub request_id: String,
     /// Method and target, separated by a space.
-    pub line: String,
+    pub method_and_target: String,
     /// Value of `X-Caller-Service`.
     pub caller: String,
     /// Value of `X-Deadline-Ms`, in milliseconds; 0 if it is missing.
@@ -67,7 +67,7 @@
     /// Whether the endpoint ran it, successfully or not.
     pub ran: bool,
     /// Whether the proxy closed the connection while the request ran.
-    pub cut_off: bool,
+    pub cancelled: bool,
     /// Time of arrival.
     pub at: Instant,
 }
@@ -389,13 +389,13 @@
         let header = |name| req.header(name).unwrap_or("").to_owned();
         let mut state = self.lock();
         state.arrivals.push(Arrival {
-            request: header("x-request-id"),
-            line: req.start_line.trim_end_matches(" HTTP/1.1").to_owned(),
+            request_id: header("x-request-id"),
+            method_and_target: req.start_line.trim_end_matches(" HTTP/1.1").to_owned(),
             caller: header("x-caller-service"),
             deadline_ms: header("x-deadline-ms").parse().unwrap_or(0),
             body: req.body.clone(),
             ran,
-            cut_off: false,
+            cancelled: false,
             at: Instant::now(),
         });
         state.arrivals.len() - 1
@@ -420,7 +420,7 @@
         _ = stream.set_read_timeout(None);
         let mut state = self.lock();
         state.running -= 1;
-        state.arrivals[index].cut_off = !is_open;
+        state.arrivals[index].cancelled = !is_open;
         is_open
     }
 }
--- a/standins/src/platform/fixtures.rs
+++ b/standins/src/platform/fixtures.rs
@@ -35,13 +35,13 @@
 }
 
 /// A request without a body and with a deadline of four seconds.
-pub fn caller_request<'a>(line: &'a str, request: &'a str) -> CallerRequest<'a> {
-    CallerRequest { line, host: HOST, request, deadline: Duration::from_secs(4), body: b"" }
+pub fn caller_request<'a>(method_and_target: &'a str, request_id: &'a str) -> CallerRequest<'a> {
+    CallerRequest { method_and_target, host: HOST, request_id, deadline: Duration::from_secs(4), body: b"" }
 }
 
 /// Sends a request through the third proxy, whose own endpoint belongs to `ledger`; panics if no response comes.
-pub fn send_to_ledger_proxy(site: &Site, line: &str, request: &str) -> Message {
-    caller_request(line, request).send_and_read(site.proxies[2].callers).expect("the proxy responds")
+pub fn send_to_ledger_proxy(site: &Site, method_and_target: &str, request_id: &str) -> Message {
+    caller_request(method_and_target, request_id).send_and_read(site.proxies[2].callers).expect("the proxy responds")
 }
 
 /// The two endpoints of `desk`.
@@ -50,13 +50,13 @@
 }
 
 /// Arrivals of a request at the endpoints of `desk`.
-pub fn arrivals_of(site: &Site, request: &str) -> Vec<Arrival> {
-    desk_endpoints(site).iter().flat_map(Endpoint::arrivals).filter(|it| it.request == request).collect()
+pub fn arrivals_of(site: &Site, request_id: &str) -> Vec<Arrival> {
+    desk_endpoints(site).iter().flat_map(Endpoint::arrivals).filter(|it| it.request_id == request_id).collect()
 }
 
 /// Number of runs of a request at the endpoints of `desk`.
-pub fn run_count(site: &Site, request: &str) -> usize {
-    arrivals_of(site, request).iter().filter(|it| it.ran).count()
+pub fn run_count(site: &Site, request_id: &str) -> usize {
+    arrivals_of(site, request_id).iter().filter(|it| it.ran).count()
 }
 
 /// Sets the mode of both endpoints of `desk`.
@@ -67,12 +67,12 @@
 }
 
 /// Waits until the proxies' event lines say how a request ended, and returns the cause that `explain` finds in them.
-pub fn explained_cause(site: &Site, request: &str) -> String {
+pub fn explained_cause(site: &Site, request_id: &str) -> String {
     let explain_cause = || {
         let texts = site.proxies.iter().map(|it| fs::read_to_string(it.log_path()).unwrap_or_default());
         let lines: Vec<EventLine> =
             texts.flat_map(|it| it.lines().filter_map(EventLine::parse).collect::<Vec<_>>()).collect();
-        explain(&lines, &Subject::Request(request.into())).cause
+        explain(&lines, &Subject::Request(request_id.into())).cause
     };
     eventually(|| !explain_cause().starts_with("No line"));
     explain_cause()
--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -176,8 +176,13 @@
 impl Proxy {
     /// Whether its readiness probe gets 200.
     pub fn is_ready(&self) -> bool {
-        let req =
-            CallerRequest { line: "GET /readiness", host: "ready", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        let req = CallerRequest {
+            method_and_target: "GET /readiness",
+            host: "ready",
+            request_id: "",
+            deadline: WAIT_TIMEOUT,
+            body: b"",
+        };
         req.send_and_read(self.readiness).is_ok_and(|it| it.status() == 200)
     }
 
@@ -188,7 +193,13 @@
 
     /// Status of the proxy with this metrics address; null if it doesn't respond.
     pub fn status_at(metrics: SocketAddr) -> Value {
-        let req = CallerRequest { line: "GET /status", host: "status", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        let req = CallerRequest {
+            method_and_target: "GET /status",
+            host: "status",
+            request_id: "",
+            deadline: WAIT_TIMEOUT,
+            body: b"",
+        };
         let resp = req.send_and_read(metrics).ok();
         resp.and_then(|it| serde_json::from_slice(&it.body).ok()).unwrap_or(Value::Null)
     }
--- a/standins/src/platform/soak/crashing.rs
+++ b/standins/src/platform/soak/crashing.rs
@@ -63,8 +63,8 @@
 pub(super) fn late_runs(arrivals: &[Vec<Arrival>], records: &[Record], fault_periods: &[FaultPeriod]) -> usize {
     let mut runs: Vec<(Instant, usize, usize)> = Vec::new();
     for (guard, arrivals) in arrivals.iter().enumerate() {
-        for it in arrivals.iter().filter(|it| it.ran && it.line == REQUEST_LINE) {
-            let sender = records.binary_search_by(|record| record.request.cmp(&it.request));
+        for it in arrivals.iter().filter(|it| it.ran && it.method_and_target == REQUEST_LINE) {
+            let sender = records.binary_search_by(|record| record.request.cmp(&it.request_id));
             runs.push((it.at, guard, sender.map_or(guard, |at| records[at].proxy)));
         }
     }
--- a/standins/src/platform/soak/promises.rs
+++ b/standins/src/platform/soak/promises.rs
@@ -139,7 +139,7 @@
     report.late_crash_runs =
         crashing::late_runs(&observations.arrivals, &observations.records, &observations.fault_periods);
     let mut runs: Vec<&str> =
-        observations.arrivals.iter().flatten().filter(|it| it.ran).map(|it| &*it.request).collect();
+        observations.arrivals.iter().flatten().filter(|it| it.ran).map(|it| &*it.request_id).collect();
     runs.sort_unstable();
     for record in &observations.records {
         let from = runs.partition_point(|it| **it < *record.request);
@@ -192,11 +192,11 @@
 fn check_arrivals(observations: &Observations, report: &mut ProxySoakReport) {
     for (proxy, arrivals) in observations.arrivals.iter().enumerate() {
         for arrival in arrivals.iter().filter(|it| it.ran) {
-            let sender = observations.records.binary_search_by(|it| it.request.cmp(&arrival.request));
+            let sender = observations.records.binary_search_by(|it| it.request.cmp(&arrival.request_id));
             let unchanged = sender.is_ok_and(|it| {
                 let record = &observations.records[it];
                 let body: &[u8] = if record.idempotent { b"" } else { record.request.as_bytes() };
-                record.line == arrival.line
+                record.line == arrival.method_and_target
                     && arrival.body == body
                     && observations.services[record.proxy] == arrival.caller
             });
--- a/standins/src/platform/soak/promises/tests.rs
+++ b/standins/src/platform/soak/promises/tests.rs
@@ -16,13 +16,13 @@
 
 fn arrival(at: Instant) -> Arrival {
     Arrival {
-        request: "a-1".to_owned(),
-        line: "POST /write/1".to_owned(),
+        request_id: "a-1".to_owned(),
+        method_and_target: "POST /write/1".to_owned(),
         caller: "desk".to_owned(),
         deadline_ms: 2_000,
         body: b"a-1".to_vec(),
         ran: true,
-        cut_off: false,
+        cancelled: false,
         at,
     }
 }
@@ -98,8 +98,8 @@
 fn late_runs_of_the_crashing_request_count_unless_a_fault_explains_them() {
     let start = Instant::now();
     let runs = |count: u32| {
-        let ran =
-            (0..count).map(|at| Arrival { line: crashing::REQUEST_LINE.to_owned(), ..arrival(start + at * SECOND) });
+        let ran = (0..count)
+            .map(|at| Arrival { method_and_target: crashing::REQUEST_LINE.to_owned(), ..arrival(start + at * SECOND) });
         let request =
             Record { idempotent: true, line: crashing::REQUEST_LINE.to_owned(), ..record(response(502, false), start) };
         Observations { records: vec![request], ..observations(response(502, false), ran.collect(), start) }
--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -62,7 +62,8 @@
 /// Times at which the request began to run, in order; each run crashed its endpoint.
 fn run_starts(site: &Site, line: &str) -> Vec<Instant> {
     let arrivals = site.proxies.iter().flat_map(|it| it.endpoint.arrivals());
-    let mut starts: Vec<Instant> = arrivals.filter(|it: &Arrival| it.ran && it.line == line).map(|it| it.at).collect();
+    let mut starts: Vec<Instant> =
+        arrivals.filter(|it: &Arrival| it.ran && it.method_and_target == line).map(|it| it.at).collect();
     starts.sort_unstable();
     starts
 }
--- a/standins/tests/proxy_end_to_end.rs
+++ b/standins/tests/proxy_end_to_end.rs
@@ -35,7 +35,7 @@
     assert_eq!(response.body, b"desk r-1");
     assert_eq!(response.header("x-response-seal"), Some("seal-r-1"));
     let [arrival] = &arrivals_of(&site, "r-1")[..] else { panic!("the request did not arrive exactly once") };
-    assert_eq!(arrival.line, "POST /write/a?b=c");
+    assert_eq!(arrival.method_and_target, "POST /write/a?b=c");
     assert_eq!(arrival.body, b"a charge");
     assert_eq!(arrival.caller, "ledger", "the ingress overwrites the caller's header with its own service");
     assert!(
@@ -220,7 +220,7 @@
     let disconnected_at = Instant::now();
     drop(stream);
 
-    assert!(eventually(|| arrivals_of(&site, "r-1").iter().all(|it| it.cut_off)));
+    assert!(eventually(|| arrivals_of(&site, "r-1").iter().all(|it| it.cancelled)));
     assert!(disconnected_at.elapsed() < Duration::from_millis(500), "{:?}", disconnected_at.elapsed());
 }
 
@@ -478,8 +478,13 @@
 
 /// Slot time of the first proxy's endpoint in milliseconds, by use, from the proxy's metrics.
 fn slot_millis(site: &Site) -> Vec<(String, u64)> {
-    let metrics =
-        CallerRequest { line: "GET /metrics", host: "metrics", request: "", deadline: WORK_TIME * 100, body: b"" };
+    let metrics = CallerRequest {
+        method_and_target: "GET /metrics",
+        host: "metrics",
+        request_id: "",
+        deadline: WORK_TIME * 100,
+        body: b"",
+    };
     let response = metrics.send_and_read(site.proxies[0].metrics).expect("the metrics are served");
     let text = String::from_utf8(response.body).expect("the metrics are UTF-8");
     let lines = text.lines().filter_map(|it| it.strip_prefix("jayreach_slot_milliseconds_total{use=\""));
--- a/standins/tests/proxy_shutdown.rs
+++ b/standins/tests/proxy_shutdown.rs
@@ -68,7 +68,7 @@
 
     assert!(statuses.iter().all(|it| *it == 200), "{statuses:?}");
     assert!(accepted > 0, "the endpoint of the stopping guard got no requests");
-    assert!(site.proxies[0].endpoint.arrivals().iter().all(|it| !it.cut_off));
+    assert!(site.proxies[0].endpoint.arrivals().iter().all(|it| !it.cancelled));
 }
 
 #[test]
--- a/standins/tests/restarts_and_invalid_input.rs
+++ b/standins/tests/restarts_and_invalid_input.rs
@@ -22,8 +22,14 @@
     site
 }
 
-fn send_write(site: &Site, request: &str) -> u16 {
-    let req = CallerRequest { line: "POST /write/x", host: HOST, request, deadline: Duration::from_secs(4), body: b"" };
+fn send_write(site: &Site, request_id: &str) -> u16 {
+    let req = CallerRequest {
+        method_and_target: "POST /write/x",
+        host: HOST,
+        request_id,
+        deadline: Duration::from_secs(4),
+        body: b"",
+    };
     req.send_and_read(site.proxies[1].callers).map_or(0, |it| it.status())
 }
 
@@ -135,7 +141,13 @@
     let write = route("/write/", "some_new_kind", 0, &[("desk", 1)]);
     site.store.put_config(config(2, &[("odd", invalid), ("write", write)]));
 
-    let req = CallerRequest { line: "GET /odd/x", host: HOST, request: "r-1", deadline: WORK_TIME * 100, body: b"" };
+    let req = CallerRequest {
+        method_and_target: "GET /odd/x",
+        host: HOST,
+        request_id: "r-1",
+        deadline: WORK_TIME * 100,
+        body: b"",
+    };
     assert!(eventually(|| req.send_and_read(site.proxies[1].callers).is_ok_and(|it| it.status() == 503)));
     thread::sleep(WORK_TIME);
 
