--- a/src/ticket/dispatch_ledger.rs
+++ b/src/ticket/dispatch_ledger.rs
@@ -52,7 +52,7 @@
 pub struct DispatchLedger {
     /// Sorted by ticket.
     records: Vec<DispatchRecord>,
-    /// One for each incarnation of a home, sorted by both.
+    /// One for each incarnation of a ticket home, sorted by both.
     marks: Vec<LowWaterMark>,
 }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The recorded status of a ticket, for callers that cannot reach its home.
+    /// The recorded status of a ticket, for callers that cannot reach its ticket home.
     pub fn status(&self, ticket: &Ticket) -> TicketStatus {
         match self.find(ticket).ok().map(|at| &self.records[at].state) {
             Some(DispatchState::Running) => TicketStatus::Running,
@@ -157,9 +157,9 @@
         self.records.iter().filter(|it| it.state == DispatchState::Running).count()
     }
 
-    /// Raises the low-water mark of a home and drops the records below it, except running ones.
+    /// Raises the low-water mark of a ticket home and drops the records below it, except running ones.
     ///
-    /// The mark itself refuses late copies of the dropped dispatches.
+    /// Late copies of the dropped dispatches are refused, because their sequence is below the mark.
     fn raise_low_water(&mut self, ticket: &Ticket, low_water: Sequence) {
         let at = match self.find_mark(ticket) {
             Ok(at) => at,
--- a/src/ticket/home.rs
+++ b/src/ticket/home.rs
@@ -16,8 +16,8 @@
 
 /// How long a ticket can be used and queried after it was issued.
 pub const RECORD_RETENTION: Duration = Duration::from_secs(600);
-/// The interval at which the next sequence is noted, to tell later which tickets are old.
-const MARK_INTERVAL: Duration = Duration::from_secs(1);
+/// The least time between two checkpoints, which determine the tickets that have expired.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(1);
 
 static CHART: LazyLock<Chart<TicketState, TicketEvent>> =
     LazyLock::new(|| Chart::embedded(include_str!("../../charts/ticket.toml")));
@@ -63,7 +63,7 @@
     state: TicketState,
     /// The number of dispatches sent; also the number of the last one.
     attempts: u32,
-    /// Where the last attempt was sent.
+    /// The guard to which the last attempt was sent.
     guard: Option<GuardIncarnation>,
     /// Present unless the ticket is running.
     outcome: Option<Arc<Outcome>>,
@@ -104,25 +104,26 @@
     incarnation: Incarnation,
     /// The next sequence to issue.
     next: Sequence,
-    /// No ticket with a lower sequence runs again.
+    /// The low-water mark: no ticket with a lower sequence runs again.
     low_water: Sequence,
-    /// Times with the sequence that was next then: all lower sequences were issued earlier.
-    marks: VecDeque<(Instant, Sequence)>,
-    /// Sorted by sequence, none below the low-water sequence.
+    /// Times, each with the sequence that was next then: all lower sequences were issued earlier.
+    checkpoints: VecDeque<(Instant, Sequence)>,
+    /// Sorted by sequence, none below the low-water mark.
     records: Vec<Record>,
 }
 
 impl TicketHome {
-    /// Creates a home that has issued no tickets.
+    /// Creates a ticket home that has issued no tickets.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
-        Self { daemon, incarnation, next: 1, low_water: 1, marks: VecDeque::new(), records: Vec::new() }
+        Self { daemon, incarnation, next: 1, low_water: 1, checkpoints: VecDeque::new(), records: Vec::new() }
     }
 
     /// Issues a ticket.
     pub fn issue(&mut self, now: Instant) -> Ticket {
-        let due = self.marks.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= MARK_INTERVAL);
+        let due =
+            self.checkpoints.back().is_none_or(|(at, _)| now.saturating_duration_since(*at) >= CHECKPOINT_INTERVAL);
         if due {
-            self.marks.push_back((now, self.next));
+            self.checkpoints.push_back((now, self.next));
         }
         let sequence = self.next;
         self.next += 1;
@@ -219,17 +220,17 @@
         resolvable.filter_map(|it| Some((it.sequence, it.attempts, it.guard.clone()?))).collect()
     }
 
-    /// Raises the low-water sequence to exclude tickets issued more than `RECORD_RETENTION` ago, and removes the
-    /// records below it.
+    /// Raises the low-water mark to exclude tickets issued more than `RECORD_RETENTION` ago, and removes the records
+    /// below it.
     ///
-    /// The low-water sequence does not pass a ticket whose run is in progress.
+    /// The low-water mark does not pass a ticket whose run is in progress.
     pub fn remove_expired(&mut self, now: Instant) {
         let mut low = self.low_water;
-        while let Some((_, mark)) =
-            self.marks.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= RECORD_RETENTION)
+        while let Some((_, sequence)) =
+            self.checkpoints.get(1).filter(|(at, _)| now.saturating_duration_since(*at) >= RECORD_RETENTION)
         {
-            low = *mark;
-            self.marks.pop_front();
+            low = *sequence;
+            self.checkpoints.pop_front();
         }
         let running = self.records.iter().find(|it| it.state == TicketState::Running);
         let low = running.map_or(low, |it| low.min(it.sequence));
@@ -269,7 +270,7 @@
         next.is_some()
     }
 
-    /// Whether the outcome stays unknown: the guard cannot say more when asked again.
+    /// Whether the outcome stays unknown, because another query to the guard can't resolve it.
     fn is_finally_unknown(&self) -> bool {
         matches!(
             self.outcome.as_deref(),
--- a/src/ticket/mod.rs
+++ b/src/ticket/mod.rs
@@ -1,4 +1,4 @@
-//! At-most-once execution without a shared store: the ticket home's records and the guard's ledger. Pure code.
+//! At-most-once execution without a shared store: the ticket home's records and the guard's ledger. Does no I/O.
 //!
 //! A ticket names the daemon that issued it, so exactly one daemon decides whether its request may run.
 
