--- a/src/rows/exchange.rs
+++ b/src/rows/exchange.rs
@@ -116,7 +116,7 @@
 }
 
 impl<E: Clone> DeliverRequest<E> {
-    /// Merges the delivered rows into `table`. Returns the response and the rows that are to be spread.
+    /// Merges the delivered rows into `table`. Returns the response and the rows that are to be pushed to peers.
     pub fn answer(self, table: &mut MemberTable<E>, now: Instant) -> (DeliverResponse<E>, Vec<Row<E>>) {
         let wanted = self.wanted.iter().filter_map(|it| table.get_by_key(*it));
         let rows = wanted.map(|it| Row::clone(it)).collect();
--- a/src/rows/row.rs
+++ b/src/rows/row.rs
@@ -19,7 +19,7 @@
     Starting,
     /// It receives requests.
     Serving,
-    /// The evidence of a fault is growing: it receives fewer requests.
+    /// It shows signs of a fault: it receives fewer requests.
     Suspect,
     /// It is ejected: it receives no requests, as far as the capacity floor allows.
     Ejected,
@@ -54,7 +54,7 @@
     pub incarnation: Incarnation,
     /// Counts the owner's changes to the row.
     pub sequence: u64,
-    /// Whether others marked the owner as down; the owner refutes that with a higher sequence.
+    /// Whether others marked the owner as down; the owner supersedes that with a higher sequence.
     pub down: bool,
 }
 
--- a/src/rows/table.rs
+++ b/src/rows/table.rs
@@ -115,19 +115,19 @@
             return MergeResult::Ignored;
         }
         if key == self.own_key {
-            self.refute(row.stamp, now);
+            self.supersede(row.stamp, now);
             return MergeResult::Conflict;
         }
         self.store_row(key, Arc::new(row), now);
         MergeResult::Updated
     }
 
-    /// Raises the owner's stamp above `claim`, if the policy allows it.
-    fn refute(&mut self, claim: Stamp, now: Instant) {
-        if claim.incarnation == self.own_row().stamp.incarnation {
-            self.update_own(now, |it| it.stamp.sequence = claim.sequence);
+    /// Raises the owner's stamp above the `received` one, if the policy allows it.
+    fn supersede(&mut self, received: Stamp, now: Instant) {
+        if received.incarnation == self.own_row().stamp.incarnation {
+            self.update_own(now, |it| it.stamp.sequence = received.sequence);
         } else if self.higher_incarnation == HigherIncarnationPolicy::Supersede {
-            self.update_own(now, |it| it.stamp.incarnation = claim.incarnation + 1);
+            self.update_own(now, |it| it.stamp.incarnation = received.incarnation + 1);
         }
     }
 
