--- a/src/document.rs
+++ b/src/document.rs
@@ -263,7 +263,7 @@
     (millis > 0).then(|| Duration::from_millis(millis))
 }
 
-/// Formats a duration for [`parse_duration`]; fractions of a millisecond are cut off.
+/// Formats a duration for [`parse_duration`]; fractions of a millisecond are dropped.
 pub fn format_duration(duration: Duration) -> Box<str> {
     let millis = duration.as_millis();
     if millis.is_multiple_of(1_000) { format!("{}s", millis / 1_000).into() } else { format!("{millis}ms").into() }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -237,9 +237,9 @@
 
 fn endpoint_cause(id: &str, about: &[EventLine]) -> String {
     let last = about.iter().rev().find(|it| &*it.event == "endpoint");
-    let last_turn = about.iter().rev().find(|it| &*it.event == "standing");
+    let last_standing = about.iter().rev().find(|it| &*it.event == "standing");
     let phase = last.map_or("never announced", |it| it.text("phase"));
-    let standing = match last_turn {
+    let standing = match last_standing {
         Some(it) if it.text("standing") == "clean" => "clean again".to_owned(),
         Some(it) => format!("{} since request {} ({})", it.text("standing"), it.text("request"), it.text("why")),
         None => "never suspect".to_owned(),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -8,7 +8,7 @@
 
 /// The timeout of calls other than watches.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long after its wait a watch may still be answered; one lost packet delays the response by a second.
+/// How much longer than its wait the response to a watch may take; one lost packet delays it by a second.
 const WATCH_SLACK: Duration = Duration::from_millis(1_200);
 /// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -22,7 +22,7 @@
 
 /// The key of the root object, which identifies the active configuration.
 pub const ROOT_KEY: &str = "config/root";
-/// How many changes back `apply` searches for its own after a lost response.
+/// How many entries of the audit trail `apply` searches for its own change after a lost response.
 const MAX_CHAIN_LENGTH: usize = 64;
 /// How many differences an audit entry holds; keeps it below the store's limit of 1 MB, as each has at most
 /// two values of 160 characters.
@@ -242,7 +242,7 @@
     }
 }
 
-/// Whether the audit trail contains the change of `root`, so that it is or was active.
+/// Whether the audit trail contains the change of `root`, which shows that it is or was active.
 fn was_accepted(store: &dyn ObjectStore, root: &ConfigRoot) -> Result<bool, Error> {
     let entries = read_audit_chain(store, MAX_CHAIN_LENGTH, root.version)?;
     Ok(entries.iter().any(|it| it.change.id == root.change.id))
--- a/src/targets/model.rs
+++ b/src/targets/model.rs
@@ -12,9 +12,9 @@
 pub struct Class {
     /// The name by which routes refer to the class.
     pub name: Box<str>,
-    /// The latency limit: how long after its arrival a request may be answered.
+    /// The latency limit: the longest time from a request's arrival to its response.
     pub lateness: Duration,
-    /// Which requests are shed first under overload: those of lower importance.
+    /// Under overload, requests of lower importance are shed first.
     pub importance: Importance,
     /// Whether a request may safely run more than once.
     pub idempotent: bool,
@@ -23,7 +23,7 @@
 /// The importance of a request, from 1 (lowest) to 100.
 pub type Importance = u8;
 
-/// Which cost of ejections a service would rather keep low.
+/// Which cost of ejections a service prefers to keep low.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EjectionPreference {
--- a/src/targets/parts.rs
+++ b/src/targets/parts.rs
@@ -11,7 +11,7 @@
     targets::model::{Account, Class, Route, Service, Targets},
 };
 
-/// The version of a configuration; every accepted change adds one.
+/// The version of a configuration; every accepted change increments it.
 pub type Version = u64;
 /// Identifies a change; drawn at random by the command that makes it.
 pub type ChangeId = u64;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -138,7 +138,6 @@
     GuardUnreachable,
     /// The dispatch was revoked before it ran.
     Revoked,
-
     /// The headers are too large.
     HeadersTooLarge,
 }
