--- a/standins/src/platform/endpoint.rs
+++ b/standins/src/platform/endpoint.rs
@@ -251,7 +251,7 @@
     }
 
     /// Sends a heartbeat to the proxy on its VM and returns the status of the response. After a heartbeat with
-    /// `draining`, all further ones of the incarnation say so too. Fails with `NotConnected` while the endpoint is
+    /// `draining`, all further ones of the incarnation report that too. Fails with `NotConnected` while the endpoint is
     /// down.
     pub fn announce(&self, proxy: SocketAddr, draining: bool) -> io::Result<u16> {
         if self.is_down() {
--- a/standins/src/platform/fixtures.rs
+++ b/standins/src/platform/fixtures.rs
@@ -13,10 +13,11 @@
     site::{HOST, Site, config, eventually, route},
 };
 
-/// Time that an endpoint works on a request.
+/// Time that an endpoint takes to run a request.
 pub const WORK_TIME: Duration = Duration::from_millis(40);
 
-/// Starts two endpoints of `desk` and one of `ledger`, configured with [`two_routes`], and waits until all are known.
+/// Starts two endpoints of `desk` and one of `ledger`, configured with [`two_routes`], and waits until each proxy lists
+/// all three.
 pub fn start_site() -> Site {
     let mut site = Site::start().expect("the store starts");
     site.store.put_config(two_routes(1));
@@ -66,7 +67,7 @@
     }
 }
 
-/// Waits until the proxies' event lines say how a request ended, and returns the cause that `explain` finds in them.
+/// Waits until the proxies' event lines show how a request ended, and returns the cause that `explain` finds in them.
 pub fn explained_cause(site: &Site, request_id: &str) -> String {
     let explain_cause = || {
         let texts = site.proxies.iter().map(|it| fs::read_to_string(it.log_path()).unwrap_or_default());
--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -102,11 +102,11 @@
         Ok(Self { store: Store::start()?, proxies: Vec::new(), with_relays, dir })
     }
 
-    /// Starts an endpoint, which sends heartbeats, and its proxy. `work` is the time that the endpoint works on a
-    /// request.
-    pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work: Duration) -> io::Result<()> {
+    /// Starts an endpoint, which sends heartbeats, and its proxy. `work_time` is the time that the endpoint takes to
+    /// run a request.
+    pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work_time: Duration) -> io::Result<()> {
         let number = self.proxies.len() + 1;
-        let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work)?;
+        let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work_time)?;
         let address = unused_address()?;
         let ports = PORTS.map(|it| SocketAddr::from((address, it)));
         let (mut advertised, mut store) = (ports[1], self.store.address);
@@ -288,7 +288,7 @@
         false
     }
 
-    /// Stops the heartbeats of its endpoint for good, and waits for two intervals.
+    /// Stops the heartbeats of its endpoint permanently, and waits for two intervals.
     pub fn stop_announcements(&self) {
         self.heartbeats_enabled.store(false, Ordering::Relaxed);
         thread::sleep(HEARTBEAT_INTERVAL * 2);
--- a/standins/src/platform/soak/callers.rs
+++ b/standins/src/platform/soak/callers.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Sends a request and reads the response; the flag says whether the connection may be used again.
+/// Sends a request and reads the response; the flag is true if the connection can be reused.
 pub(super) fn exchange(stream: &mut BufReader<TcpStream>, line: &str, request: &str) -> (Outcome, bool) {
     let body: &[u8] = if line.starts_with("POST") { request.as_bytes() } else { b"" };
     let req = CallerRequest { method_and_target: line, host: HOST, request_id: request, deadline: DEADLINE, body };
--- a/standins/src/platform/soak/faults.rs
+++ b/standins/src/platform/soak/faults.rs
@@ -61,7 +61,7 @@
     Endpoint(EndpointMode),
     /// The endpoint announces that it drains; at the end another incarnation replaces it.
     Leave,
-    /// Another incarnation takes the endpoint's address without any notice of the end of the former.
+    /// Another incarnation takes over the endpoint's address; the former one announces no end.
     Replace,
     /// The store misbehaves.
     Store(StoreMode),
@@ -71,7 +71,7 @@
     Change,
     /// A relay delays or blocks traffic.
     Weather(Side, Impairment),
-    /// Open connections of a relay carry nothing more.
+    /// Open connections of a relay stay open but carry no more data.
     Silence(Side),
     /// Open connections of a relay are reset.
     Reset(Side),
@@ -184,7 +184,7 @@
     disturbances: Vec<DisturbedPeriod>,
     fault_periods: Vec<FaultPeriod>,
     draining_periods: Vec<DrainingPeriod>,
-    /// By proxy: whether it was killed or told to stop, and not started again yet.
+    /// By proxy: whether it was killed or got SIGTERM, and has not been started again yet.
     expected_down: Vec<bool>,
 }
 
@@ -319,7 +319,7 @@
             .for_each(|it| it.to = Some(now));
     }
 
-    /// Starts a proxy again that was killed or told to stop. Waits for its exit first, and kills it if that takes too
+    /// Starts a proxy again that was killed or got SIGTERM. Waits for its exit first, and kills it if that takes too
     /// long.
     fn restart_proxy(&mut self, index: usize) -> io::Result<()> {
         let proxy = &mut self.site.proxies[index];
@@ -339,7 +339,7 @@
         Ok(())
     }
 
-    /// Counts and restarts proxies that exited without being told to.
+    /// Counts and restarts proxies that exited although the soak had neither killed nor stopped them.
     fn restart_crashed_proxies(&mut self) -> io::Result<()> {
         for index in 0..self.site.proxies.len() {
             if !self.expected_down[index] && self.site.proxies[index].has_exited() {
--- a/standins/src/platform/soak/mod.rs
+++ b/standins/src/platform/soak/mod.rs
@@ -30,7 +30,7 @@
     store::Store,
 };
 
-/// Time that an endpoint works on a request.
+/// Time that an endpoint takes to run a request.
 const WORK_TIME: Duration = Duration::from_millis(30);
 /// Number of requests that an endpoint runs at once.
 const SLOTS: u32 = 4;
--- a/standins/src/platform/soak/promises.rs
+++ b/standins/src/platform/soak/promises.rs
@@ -67,7 +67,7 @@
     pub wrongly_quarantined: usize,
     /// Decreases of a proxy's configuration version.
     pub reverts: usize,
-    /// Proxies that exited without being told to.
+    /// Proxies that exited although the soak had neither killed nor stopped them.
     pub crashes: usize,
     /// Whether the fleet failed to converge in time after the last fault.
     pub not_converged: bool,
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -16,7 +16,7 @@
 /// Kind of the operator's configuration.
 const CONFIG_KIND: &str = "config";
 
-/// In place of a response: closes the connection without one.
+/// Stands for a response: the connection is closed without one.
 const NO_RESPONSE: (u16, Value) = (0, Value::Null);
 
 /// How the store handles requests.
