--- a/tests/gray_failures.rs
+++ b/tests/gray_failures.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns an endpoint that admits the request and was not tried before.
-    fn place(&mut self, trial: bool, tried: &[usize]) -> Option<usize> {
+    fn select_endpoint(&mut self, trial: bool, tried: &[usize]) -> Option<usize> {
         let untried: Vec<usize> = (0..ENDPOINTS).filter(|it| !tried.contains(it)).collect();
         let candidates = self.candidates(&untried);
         let ranking = rank_candidates(&candidates, trial, &mut self.rng);
@@ -96,7 +96,7 @@
     fn serve(&mut self, idempotent: bool, trial: impl Fn(u32) -> bool) -> bool {
         let mut tried = Vec::new();
         while (tried.len() as u32) < MAX_ATTEMPTS {
-            let Some(at) = self.place(idempotent && trial(tried.len() as u32), &tried) else { return false };
+            let Some(at) = self.select_endpoint(idempotent && trial(tried.len() as u32), &tried) else { return false };
             tried.push(at);
             match self.attempt(at) {
                 AttemptResult::Done => return true,
@@ -163,10 +163,10 @@
     fleet.trackers[3].record_sample(AnswerSample::Declined, fleet.now, fleet.now);
     fleet.advance(1);
 
-    let placed: Vec<_> = (0..200).filter_map(|_| fleet.place(false, &[])).collect();
+    let selected: Vec<_> = (0..200).filter_map(|_| fleet.select_endpoint(false, &[])).collect();
 
-    assert_eq!(placed.len(), 200);
-    assert!(!placed.contains(&3));
+    assert_eq!(selected.len(), 200);
+    assert!(!selected.contains(&3));
 }
 
 #[test]
