--- a/tests/grant_ledger.rs
+++ b/tests/grant_ledger.rs
@@ -25,7 +25,7 @@
     GrantReused,
     /// A query about an unused grant does not revoke it.
     UnusedNotRevoked,
-    /// A guard treats grants that it does not know as not run.
+    /// A guard reports grants without a ledger entry as not run.
     ForgottenTakenAsUnused,
     /// The ingress retries although the end of the last attempt is unknown.
     RetriesDespiteUnknownEnd,
@@ -64,7 +64,7 @@
     fault: Fault,
 }
 
-/// What the ingress knows about an attempt.
+/// Result of an attempt, as far as the ingress can determine it.
 #[derive(Debug, Clone, PartialEq)]
 enum AttemptResult {
     Done,
--- a/tests/latest_start.rs
+++ b/tests/latest_start.rs
@@ -42,7 +42,7 @@
 }
 
 /// Simulates five slots at 1.4 times their capacity, with service times from 200 to 1,400 ms. Requests may start up to
-/// `late_by` after their latest start. Returns the numbers of answers in time, late answers and refusals.
+/// `late_by` after their latest start. Returns the numbers of responses in time, late responses and refusals.
 fn simulate_overload(seed: u64, late_by: Duration) -> (u32, u32, u32) {
     const SLOTS: usize = 5;
     let mut rng = SmallRng::seed_from_u64(seed);
--- a/tests/proxy_decisions.rs
+++ b/tests/proxy_decisions.rs
@@ -144,9 +144,9 @@
     );
 }
 
-/// Simulates an endpoint that has a gray failure for 12 s while four requests end well. Eight requests a second arrive,
-/// a quarter of them idempotent, and all fail. Returns how many non-idempotent requests fail. The four requests started
-/// before the failure if `started_before`, otherwise during it.
+/// Simulates an endpoint that has a gray failure for 12 s while four requests end successfully. Eight requests a second
+/// arrive, a quarter of them idempotent, and all fail. Returns how many non-idempotent requests fail. The four requests
+/// started before the failure if `started_before`, otherwise during it.
 fn simulate_onset_of_gray_failure(started_before: bool) -> u32 {
     let start = Instant::now();
     let (mut tracker, mut lost) = (StandingTracker::default(), 0);
--- a/tests/tickets.rs
+++ b/tests/tickets.rs
@@ -55,7 +55,7 @@
 }
 
 /// A message in the network. A copy of a dispatch arrives after the original or instead of it. Its reply is not awaited:
-/// the home reads one reply, from the connection on which it wrote the request.
+/// the ticket home reads one reply, from the connection on which it wrote the request.
 #[derive(Debug, Clone)]
 enum Message {
     Dispatch { guard: usize, incarnation: u64, ticket_attempt: TicketAttempt, awaited: bool },
@@ -64,7 +64,7 @@
     Revoked { ticket_attempt: TicketAttempt, reply: RevokeReply },
 }
 
-/// A run in progress at the home: the attempt whose reply it awaits.
+/// A run in progress at the ticket home: the attempt whose reply it awaits.
 #[derive(Debug, Clone)]
 struct Run {
     ticket_attempt: TicketAttempt,
@@ -172,7 +172,7 @@
             Action::TimePasses => {
                 self.now += RECORD_RETENTION.mul_f64(0.6);
                 self.home.remove_expired(self.now);
-                // Issuing a ticket adds a mark, without which later calls cannot expire records.
+                // Issuing a ticket adds a checkpoint, without which later calls cannot expire records.
                 self.home.issue(self.now);
                 Ok(())
             }
@@ -290,7 +290,7 @@
         if self.ran[at].1 > 1 { Err(format!("{ticket} ran twice")) } else { Ok(()) }
     }
 
-    /// Applies the home's next step; a reply to an older attempt is ignored.
+    /// Applies the ticket home's next step; a reply to an older attempt is ignored.
     fn apply_step(&mut self, ticket_attempt: &TicketAttempt, step: NextStep) -> Result<(), String> {
         let awaited = |it: &Option<Run>| it.as_ref().is_some_and(|run| run.ticket_attempt == *ticket_attempt);
         let Some(at) = self.runs.iter().position(awaited) else { return Ok(()) };
--- a/tests/wait_queue.rs
+++ b/tests/wait_queue.rs
@@ -1,4 +1,5 @@
-//! The order in which waiting requests start: under overload, urgent requests and slots must not be wasted on late ones.
+//! The order in which waiting requests start: under overload, slots must go to urgent requests first, and few to late
+//! ones.
 
 use std::time::{Duration, Instant};
 
