--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// `--daemon` is missing. Called before the change, so that nothing is changed then.
+    /// `--daemon` is missing. This is checked before the change, so that an error leaves the configuration unchanged.
     fn daemon_to_wait_for(&self) -> Result<Option<SocketAddr>, Error> {
         match (self.wait, self.daemon) {
             (false, _) => Ok(None),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! A proxy fleet for back ends with gray failures.
 //!
-//! One small process runs beside each endpoint. [`proxy`] is that process on the users' platform, whose names and formats
-//! are in [`platform`]; [`daemon`] is the one with the project's own interface. [`decide`], [`ticket`] and [`rows`] make
-//! the decisions and do no I/O.
+//! One small process runs on the VM of each endpoint. [`proxy`] is that process on the users' platform, whose names and
+//! formats are in [`platform`]; [`daemon`] is the one with the project's own interface. [`decide`], [`ticket`] and
+//! [`rows`] make the decisions and do no I/O.
 
 pub mod chart;
 pub mod cmd;
--- a/standins/tests/crashing_request.rs
+++ b/standins/tests/crashing_request.rs
@@ -1,4 +1,4 @@
-//! A request that crashes every endpoint which executes it, sent again and again to all proxies and under new ids.
+//! A request that crashes every endpoint which executes it, sent repeatedly to all proxies and under new ids.
 //! The tests guard against one such request taking down all endpoints of a service.
 
 use std::{
--- a/standins/tests/many_proxies.rs
+++ b/standins/tests/many_proxies.rs
@@ -15,7 +15,8 @@
 /// Time from its start until a fleet's only calls to the store are watches.
 const STARTUP_TIME: Duration = Duration::from_secs(6);
 
-/// Starts a fleet, half of it in each data centre. The guard keeps other tests from starting a second fleet meanwhile.
+/// Starts a fleet, half of it in each data centre. The lock guard keeps other tests from starting a second fleet
+/// meanwhile.
 fn start_fleet() -> (Site, std::sync::MutexGuard<'static, ()>) {
     static FLEET_LOCK: OnceLock<std::sync::Mutex<()>> = OnceLock::new();
     let fleet_guard =
