--- a/standins/src/platform/soak/callers.rs
+++ b/standins/src/platform/soak/callers.rs
@@ -43,11 +43,11 @@
 /// One request and its outcome.
 #[derive(Debug, Clone)]
 pub(super) struct Record {
-    pub(super) request: String,
+    pub(super) request_id: String,
     pub(super) idempotent: bool,
     /// Index of the proxy that it was sent to.
     pub(super) proxy: usize,
-    pub(super) line: String,
+    pub(super) method_and_target: String,
     pub(super) sent: Instant,
     pub(super) ended: Instant,
     pub(super) outcome: Outcome,
@@ -84,12 +84,13 @@
                 }
             };
             let idempotent = self.rng.random_bool(0.5);
-            let line = if idempotent { format!("GET /read/{number}") } else { format!("POST /write/{number}") };
-            let request = format!("{}-{number:x}", self.name);
+            let method_and_target =
+                if idempotent { format!("GET /read/{number}") } else { format!("POST /write/{number}") };
+            let request_id = format!("{}-{number:x}", self.name);
             let sent = Instant::now();
-            let (outcome, reusable) = exchange(&mut stream, &line, &request);
+            let (outcome, reusable) = exchange(&mut stream, &method_and_target, &request_id);
             let ended = Instant::now();
-            records.push(Record { request, idempotent, proxy: self.proxy, line, sent, ended, outcome });
+            records.push(Record { request_id, idempotent, proxy: self.proxy, method_and_target, sent, ended, outcome });
             if reusable {
                 idle_connection = Some(stream);
             }
@@ -110,18 +111,22 @@
 }
 
 /// Sends a request and reads the response; the flag is true if the connection can be reused.
-pub(super) fn exchange(stream: &mut BufReader<TcpStream>, line: &str, request: &str) -> (Outcome, bool) {
-    let body: &[u8] = if line.starts_with("POST") { request.as_bytes() } else { b"" };
-    let req = CallerRequest { method_and_target: line, host: HOST, request_id: request, deadline: DEADLINE, body };
+pub(super) fn exchange(
+    stream: &mut BufReader<TcpStream>,
+    method_and_target: &str,
+    request_id: &str,
+) -> (Outcome, bool) {
+    let body: &[u8] = if method_and_target.starts_with("POST") { request_id.as_bytes() } else { b"" };
+    let req = CallerRequest { method_and_target, host: HOST, request_id, deadline: DEADLINE, body };
     if stream.get_mut().write_all(&req.encode()).is_err() {
         return (Outcome::Closed, false);
     }
     match http::read_message(stream) {
         Ok(Some(resp)) => {
             let status = resp.status();
-            let from_endpoint = resp.header("x-response-seal") == Some(&format!("seal-{request}"))
-                && resp.header("x-request-id") == Some(request)
-                && (status != 200 || resp.body.ends_with(format!(" {request}").as_bytes()));
+            let from_endpoint = resp.header("x-response-seal") == Some(&format!("seal-{request_id}"))
+                && resp.header("x-request-id") == Some(request_id)
+                && (status != 200 || resp.body.ends_with(format!(" {request_id}").as_bytes()));
             let reusable = resp.header("connection") != Some("close");
             let quarantined = resp.body.starts_with(QUARANTINE_PREFIX);
             (Outcome::Response { status, from_endpoint, quarantined }, reusable)
--- a/standins/src/platform/soak/crashing.rs
+++ b/standins/src/platform/soak/crashing.rs
@@ -48,11 +48,11 @@
         thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
         let proxy = *indexes.choose(&mut rng).expect("there are proxies");
         let Ok(mut stream) = Caller::connect_to(proxies[proxy]) else { continue };
-        let request = format!("crash-{seed:x}-{number:x}");
+        let request_id = format!("crash-{seed:x}-{number:x}");
         let sent = Instant::now();
-        let (outcome, _) = callers::exchange(&mut stream, REQUEST_LINE, &request);
-        let (line, ended) = (REQUEST_LINE.to_owned(), Instant::now());
-        records.push(Record { request, idempotent: true, proxy, line, sent, ended, outcome });
+        let (outcome, _) = callers::exchange(&mut stream, REQUEST_LINE, &request_id);
+        let (method_and_target, ended) = (REQUEST_LINE.to_owned(), Instant::now());
+        records.push(Record { request_id, idempotent: true, proxy, method_and_target, sent, ended, outcome });
     }
     records
 }
@@ -64,7 +64,7 @@
     let mut runs: Vec<(Instant, usize, usize)> = Vec::new();
     for (guard, arrivals) in arrivals.iter().enumerate() {
         for it in arrivals.iter().filter(|it| it.ran && it.method_and_target == REQUEST_LINE) {
-            let sender = records.binary_search_by(|record| record.request.cmp(&it.request_id));
+            let sender = records.binary_search_by(|record| record.request_id.cmp(&it.request_id));
             runs.push((it.at, guard, sender.map_or(guard, |at| records[at].proxy)));
         }
     }
--- a/standins/src/platform/soak/promises.rs
+++ b/standins/src/platform/soak/promises.rs
@@ -127,7 +127,7 @@
 
 /// Runs all checks.
 pub(super) fn check(mut observations: Observations) -> ProxySoakReport {
-    observations.records.sort_by(|a, b| a.request.cmp(&b.request));
+    observations.records.sort_by(|a, b| a.request_id.cmp(&b.request_id));
     let mut report = ProxySoakReport {
         requests: observations.records.len(),
         reverts: observations.reverts,
@@ -142,8 +142,8 @@
         observations.arrivals.iter().flatten().filter(|it| it.ran).map(|it| &*it.request_id).collect();
     runs.sort_unstable();
     for record in &observations.records {
-        let from = runs.partition_point(|it| **it < *record.request);
-        let ran = runs[from..].iter().take_while(|it| **it == record.request).count();
+        let from = runs.partition_point(|it| **it < *record.request_id);
+        let ran = runs[from..].iter().take_while(|it| **it == record.request_id).count();
         check_record(record, ran, &observations.disturbances, &mut report);
     }
     report
@@ -154,7 +154,9 @@
         report.ran_twice += 1;
         report.add_violation("ran twice", &(record, ran));
     }
-    if matches!(record.outcome, Outcome::Response { quarantined: true, .. }) && record.line != crashing::REQUEST_LINE {
+    if matches!(record.outcome, Outcome::Response { quarantined: true, .. })
+        && record.method_and_target != crashing::REQUEST_LINE
+    {
         report.wrongly_quarantined += 1;
         report.add_violation("held back, though it ends nothing", record);
     }
@@ -192,11 +194,11 @@
 fn check_arrivals(observations: &Observations, report: &mut ProxySoakReport) {
     for (proxy, arrivals) in observations.arrivals.iter().enumerate() {
         for arrival in arrivals.iter().filter(|it| it.ran) {
-            let sender = observations.records.binary_search_by(|it| it.request.cmp(&arrival.request_id));
+            let sender = observations.records.binary_search_by(|it| it.request_id.cmp(&arrival.request_id));
             let unchanged = sender.is_ok_and(|it| {
                 let record = &observations.records[it];
-                let body: &[u8] = if record.idempotent { b"" } else { record.request.as_bytes() };
-                record.line == arrival.method_and_target
+                let body: &[u8] = if record.idempotent { b"" } else { record.request_id.as_bytes() };
+                record.method_and_target == arrival.method_and_target
                     && arrival.body == body
                     && observations.services[record.proxy] == arrival.caller
             });
--- a/standins/src/platform/soak/promises/tests.rs
+++ b/standins/src/platform/soak/promises/tests.rs
@@ -10,8 +10,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn record(outcome: Outcome, start: Instant) -> Record {
-    let (request, line) = ("a-1".to_owned(), "POST /write/1".to_owned());
-    Record { request, idempotent: false, proxy: 0, line, sent: start, ended: start + SECOND, outcome }
+    let (request_id, method_and_target) = ("a-1".to_owned(), "POST /write/1".to_owned());
+    Record { request_id, idempotent: false, proxy: 0, method_and_target, sent: start, ended: start + SECOND, outcome }
 }
 
 fn arrival(at: Instant) -> Arrival {
@@ -100,8 +100,11 @@
     let runs = |count: u32| {
         let ran = (0..count)
             .map(|at| Arrival { method_and_target: crashing::REQUEST_LINE.to_owned(), ..arrival(start + at * SECOND) });
-        let request =
-            Record { idempotent: true, line: crashing::REQUEST_LINE.to_owned(), ..record(response(502, false), start) };
+        let request = Record {
+            idempotent: true,
+            method_and_target: crashing::REQUEST_LINE.to_owned(),
+            ..record(response(502, false), start)
+        };
         Observations { records: vec![request], ..observations(response(502, false), ran.collect(), start) }
     };
     let fault_period = |proxy| FaultPeriod { proxy, from: start, to: Some(start + 60 * SECOND) };
