--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -315,8 +315,8 @@
 
 /// Path of a program of this build: in the folder of the running program, or one level up when a test runs.
 pub fn program_path(name: &str) -> io::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let candidates = own.ancestors().skip(1).take(2).map(|it| it.join(name));
+    let current_exe = env::current_exe()?;
+    let candidates = current_exe.ancestors().skip(1).take(2).map(|it| it.join(name));
     let mut found = candidates.into_iter().filter(|it| it.is_file());
     found.next().ok_or_else(|| io::Error::other(format!("{name} is not built; run `cargo build --workspace`")))
 }
