--- a/standins/src/platform/site.rs
+++ b/standins/src/platform/site.rs
@@ -102,11 +102,11 @@
         Ok(Self { store: Store::start()?, proxies: Vec::new(), with_relays, dir })
     }
 
-    /// Starts an endpoint, which sends heartbeats, and its proxy. `work` is the time that the endpoint works on a
-    /// request.
-    pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work: Duration) -> io::Result<()> {
+    /// Starts an endpoint, which sends heartbeats, and its proxy. `work_time` is the time that the endpoint takes to
+    /// run a request.
+    pub fn add_vm(&mut self, service: &str, data_centre: &str, slots: u32, work_time: Duration) -> io::Result<()> {
         let number = self.proxies.len() + 1;
-        let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work)?;
+        let mut endpoint = Endpoint::start(service, &format!("i-{number}"), slots, work_time)?;
         let address = unused_address()?;
         let ports = PORTS.map(|it| SocketAddr::from((address, it)));
         let (mut advertised, mut store) = (ports[1], self.store.address);
@@ -176,8 +176,13 @@
 impl Proxy {
     /// Whether its readiness probe gets 200.
     pub fn is_ready(&self) -> bool {
-        let req =
-            CallerRequest { line: "GET /readiness", host: "ready", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        let req = CallerRequest {
+            method_and_target: "GET /readiness",
+            host: "ready",
+            request_id: "",
+            deadline: WAIT_TIMEOUT,
+            body: b"",
+        };
         req.send_and_read(self.readiness).is_ok_and(|it| it.status() == 200)
     }
 
@@ -188,7 +193,13 @@
 
     /// Status of the proxy with this metrics address; null if it doesn't respond.
     pub fn status_at(metrics: SocketAddr) -> Value {
-        let req = CallerRequest { line: "GET /status", host: "status", request: "", deadline: WAIT_TIMEOUT, body: b"" };
+        let req = CallerRequest {
+            method_and_target: "GET /status",
+            host: "status",
+            request_id: "",
+            deadline: WAIT_TIMEOUT,
+            body: b"",
+        };
         let resp = req.send_and_read(metrics).ok();
         resp.and_then(|it| serde_json::from_slice(&it.body).ok()).unwrap_or(Value::Null)
     }
@@ -277,7 +288,7 @@
         false
     }
 
-    /// Stops the heartbeats of its endpoint for good, and waits for two intervals.
+    /// Stops the heartbeats of its endpoint permanently, and waits for two intervals.
     pub fn stop_announcements(&self) {
         self.heartbeats_enabled.store(false, Ordering::Relaxed);
         thread::sleep(HEARTBEAT_INTERVAL * 2);
