--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -59,7 +59,7 @@
     Root,
     /// Message `PartsRequest`, reply `PartsReply`.
     Parts,
-    /// Empty message, reply `InForce`.
+    /// Empty message, reply `ActiveVersion`.
     InForce,
 }
 
--- a/standins/tests/proxy_soak.rs
+++ b/standins/tests/proxy_soak.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use standins::platform::soak::{self, SoakOptions};
 
-/// Seeds that once failed: with 23 an endpoint waited forever for the acknowledgement of a paused proxy; with 865
-/// SIGHUP killed a starting proxy that had no handler yet.
+/// Seed 23 covers an endpoint that waits for the acknowledgement of a paused proxy; seed 865 covers SIGHUP to a
+/// starting proxy that has no handler yet.
 #[rstest]
 #[case(3, 12, false, false)]
 #[case(8, 12, false, false)]
